--- a/packages/dispatch/src/lib/discovery/DiscoveryAction.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryAction.ts
@@ -4,10 +4,10 @@
 export enum DiscoveryActionKind {
   Send = 'send',
   SetPeers = 'set_peers',
-  /** An instance that hosts a voter was heard for the first time, or has restarted. */
+  /** An instance that hosts a voter announced itself for the first time, or has restarted. */
   VoterHostSeen = 'voter_host_seen',
   LeaderChanged = 'leader_changed',
-  /** The leader was lost, and too few hosts of voters can be reached to learn of the next one. */
+  /** The leader was lost, and the next can't be found: no majority of the voter hosts answers. */
   NoLeaderInReach = 'no_leader_in_reach',
 }
 
--- a/packages/dispatch/src/lib/discovery/DiscoveryEvent.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryEvent.ts
@@ -2,15 +2,17 @@
 
 /** @public */
 export enum DiscoveryEventKind {
+  /** Another instance announced itself. */
   Announced = 'announced',
+  /** A voter host sent its instance directory. */
   Told = 'told',
-  /** Instances that the replicated log names as hosts of voters, and who leads. */
+  /** State of the local voter: the voter hosts in the replicated log, and the current leader. */
   Voters = 'voters',
-  /** This process was told to stop. */
+  /** This process is about to stop. */
   Leaving = 'leaving',
-  /** A message came that only the leader of a term sends. */
+  /** A message was received that only the leader of a term sends. */
   Heard = 'heard',
-  /** This instance, as the leader, sent such a message. */
+  /** This instance sent such a message as the leader. */
   Answered = 'answered',
 }
 
--- a/packages/dispatch/src/lib/discovery/DiscoveryMachine.test.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryMachine.test.ts
@@ -34,15 +34,15 @@
   return actions.filter((action) => action.kind === kind)
 }
 
-describe('finding instances', () => {
-  it('starts from the seeds and goes on with those that they name', () => {
+describe('instance discovery', () => {
+  it('starts from the seeds and adds the voter hosts that they list', () => {
     const entry = makeEntry()
     entry.tick(0)
     entry.step(10, told('a', '', 0, ['a', 'c']))
     assert.deepEqual(entry.voterHosts, ['a', 'b', 'c'])
   })
 
-  it('believes the highest term about the leader', () => {
+  it('accepts the leader of the highest term', () => {
     const entry = makeEntry()
     entry.step(10, told('a', 'a', 3))
     entry.step(11, told('b', 'b', 2))
@@ -51,9 +51,9 @@
     assert.equal(entry.leader, 'b')
   })
 
-  describe('after the leader was lost', () => {
-    const { leaderSilentMs, searchMs } = defaultDiscoveryTiming
-    const lostAt = leaderSilentMs + 1
+  describe('after the loss of the leader', () => {
+    const { leaderTimeoutMs, leaderSearchMs } = defaultDiscoveryTiming
+    const lostAt = leaderTimeoutMs + 1
     const loseLeader = (): DiscoveryMachine => {
       const entry = makeEntry()
       entry.step(0, told('a', 'b', 3, ['a', 'b', 'c']))
@@ -61,23 +61,23 @@
       return entry
     }
     const searchEnd = (entry: DiscoveryMachine): DiscoveryAction[] => {
-      return ofKind(entry.tick(lostAt + searchMs), DiscoveryActionKind.NoLeaderInReach)
+      return ofKind(entry.tick(lostAt + leaderSearchMs), DiscoveryActionKind.NoLeaderInReach)
     }
 
-    it('tells when no majority of the hosts of voters answers', () => {
+    it('reports that no majority of the voter hosts answers', () => {
       const entry = loseLeader()
       entry.step(lostAt + 10, told('a', '', 3, ['b', 'c']))
       assert.equal(searchEnd(entry).length, 1)
-      assert.equal(entry.tick(lostAt + 2 * searchMs).length > 0, true, 'it goes on to search')
+      assert.equal(entry.tick(lostAt + 2 * leaderSearchMs).length > 0, true, 'it keeps searching')
     })
 
-    it('goes on waiting for the next one when a majority answers', () => {
+    it('keeps waiting for the next leader if a majority answers', () => {
       const entry = loseLeader()
       for (const host of ['a', 'c']) entry.step(lostAt + 10, told(host, '', 3, ['a', 'b', 'c']))
       assert.deepEqual(searchEnd(entry), [])
     })
 
-    it('is answered by hosts that have no news', () => {
+    it('is answered by voter hosts even if their directory is unchanged', () => {
       const host = new DiscoveryMachine({
         instance: 'a',
         zone: 'z',
@@ -93,17 +93,17 @@
     })
   })
 
-  it('gives a leader up that does not answer for itself', () => {
+  it('drops a leader that only others report', () => {
     const entry = makeEntry()
     entry.step(0, told('a', 'b', 3))
-    const { leaderSilentMs } = defaultDiscoveryTiming
-    entry.step(leaderSilentMs, told('a', 'b', 3))
-    const actions = entry.tick(leaderSilentMs + 1)
+    const { leaderTimeoutMs } = defaultDiscoveryTiming
+    entry.step(leaderTimeoutMs, told('a', 'b', 3))
+    const actions = entry.tick(leaderTimeoutMs + 1)
     assert.equal(ofKind(actions, DiscoveryActionKind.LeaderChanged).length, 1)
     assert.equal(entry.leader, '')
   })
 
-  it('announces itself often while no leader is known, and else now and then', () => {
+  it('announces itself at short intervals without a leader, and at long ones with a leader', () => {
     const entry = makeEntry()
     const sentIn = (from: number, to: number): number => {
       let sent = 0
@@ -122,19 +122,19 @@
     assert.equal(sentIn(5_000, 6_000), 10)
   })
 
-  it('gives a leader up at once that says itself that it leads no more', () => {
+  it('drops a leader immediately if it reports itself that it no longer leads', () => {
     const entry = makeEntry()
     entry.step(0, told('a', 'a', 3))
     entry.step(5, told('b', '', 3))
-    assert.equal(entry.leader, 'a', 'another one may know less')
+    assert.equal(entry.leader, 'a', 'another instance may know less')
     entry.step(10, told('a', '', 3))
     assert.equal(entry.leader, '')
   })
 
-  it('passes on only the leader that its own voter follows', () => {
+  it('reports only the leader that its own voter follows', () => {
     const options = { instance: 'a', zone: 'z', hostsVoter: true, seeds: ['a', 'b'] }
     const host = new DiscoveryMachine({ ...options, startedAt: 0 })
-    const leadersTold = (actions: readonly DiscoveryAction[]): string[] => {
+    const reportedLeaders = (actions: readonly DiscoveryAction[]): string[] => {
       return actions.flatMap((action) => {
         if (action.kind !== DiscoveryActionKind.Send) return []
         const { body } = action.envelope
@@ -142,12 +142,12 @@
       })
     }
     host.step(0, told('b', 'x', 3))
-    assert.deepEqual(leadersTold(host.step(1, announced('entry', false, 100))), [''])
+    assert.deepEqual(reportedLeaders(host.step(1, announced('entry', false, 100))), [''])
     host.step(2, { kind: DiscoveryEventKind.Voters, instances: [], leader: 'x', term: 3 })
-    assert.deepEqual(leadersTold(host.step(3, announced('entry', false, 102))), ['x'])
+    assert.deepEqual(reportedLeaders(host.step(3, announced('entry', false, 102))), ['x'])
   })
 
-  it('tells all who rely on it that it leads no more', () => {
+  it('notifies all announced instances when it no longer leads', () => {
     const options = { instance: 'a', zone: 'z', hostsVoter: true, seeds: ['a', 'b'] }
     const host = new DiscoveryMachine({ ...options, startedAt: 0 })
     host.step(0, announced('entry', false, 100))
@@ -158,7 +158,7 @@
     assert.ok(sent.some((action) => 'to' in action && action.to === 'entry'))
   })
 
-  it('notices that a host of a voter has restarted', () => {
+  it('detects the restart of a voter host', () => {
     const entry = makeEntry()
     const seen = (actions: readonly DiscoveryAction[]): number => {
       return ofKind(actions, DiscoveryActionKind.VoterHostSeen).length
@@ -168,13 +168,13 @@
     assert.equal(seen(entry.step(9_000, announced('c', true, 300))), 1)
   })
 
-  it('makes names of addresses and back', () => {
+  it('converts addresses to names and back', () => {
     assert.equal(hostOf(instanceAt('10.1.0.13')), '10.1.0.13')
   })
 })
 
-describe('a leader and those that follow it', () => {
-  const { leaderSilentMs } = defaultDiscoveryTiming
+describe('instances that follow a leader', () => {
+  const { leaderTimeoutMs } = defaultDiscoveryTiming
   const heard = (term: number): DiscoveryEvent => {
     return { kind: DiscoveryEventKind.Heard, from: 'a', term }
   }
@@ -195,65 +195,65 @@
     leader.tick(0)
     return leader
   }
-  /** When a host of a voter tells the entry who leads, while its voter follows a leader. */
-  const tellsIn = (
+  /** Times at which a voter host sends its directory to `entry`, given the state of its voter. */
+  const directoryTimes = (
     leader: DiscoveryMachine,
     from: number,
     to: number,
     voters = follows('a', 3),
   ): number[] => {
-    const tells: number[] = []
+    const times: number[] = []
     for (let now = from; now < to; now += 10) {
       leader.step(now, voters)
       if (now < leader.tickDueAt) continue
       for (const action of leader.tick(now)) {
-        if (action.kind === DiscoveryActionKind.Send && action.to === 'entry') tells.push(now)
+        if (action.kind === DiscoveryActionKind.Send && action.to === 'entry') times.push(now)
       }
     }
-    return tells
+    return times
   }
 
-  it('are told often enough that one message may be late', () => {
-    const tells = tellsIn(makeLeader(), 10, 2_000)
-    const gaps = tells.map((at, n) => at - (tells[n - 1] ?? 0))
-    assert.ok(Math.max(...gaps) <= leaderSilentMs / 3, `${Math.max(...gaps)} ms`)
+  it('get heartbeats often enough that one may be late', () => {
+    const times = directoryTimes(makeLeader(), 10, 2_000)
+    const gaps = times.map((at, n) => at - (times[n - 1] ?? 0))
+    assert.ok(Math.max(...gaps) <= leaderTimeoutMs / 3, `${Math.max(...gaps)} ms`)
   })
 
-  it('are told nothing while answers to their jobs tell the same', () => {
+  it('get no heartbeats while answers to their jobs show the same', () => {
     const leader = makeLeader()
     for (let now = 100; now < 1_000; now += 100) {
-      assert.deepEqual(tellsIn(leader, now - 90, now), [])
+      assert.deepEqual(directoryTimes(leader, now - 90, now), [])
       leader.step(now, { kind: DiscoveryEventKind.Answered, to: 'entry' })
     }
-    assert.equal(tellsIn(leader, 910, 1_200).length, 2)
+    assert.equal(directoryTimes(leader, 910, 1_200).length, 2)
   })
 
-  it('are told nothing by one that leads no more', () => {
+  it('get no heartbeats from an instance that no longer leads', () => {
     const leader = makeLeader()
     leader.step(10, follows('b', 4))
-    assert.deepEqual(tellsIn(leader, 20, 2_000, follows('b', 4)), [])
+    assert.deepEqual(directoryTimes(leader, 20, 2_000, follows('b', 4)), [])
   })
 
-  it('keep a leader whose answers come, and give up one that falls silent', () => {
+  it('keep a leader that answers, and drop one that falls silent', () => {
     const entry = makeFollower()
     entry.step(100, heard(3))
-    entry.tick(100 + leaderSilentMs)
+    entry.tick(100 + leaderTimeoutMs)
     assert.equal(entry.leader, 'a')
-    assert.ok(entry.tickDueAt <= 100 + leaderSilentMs + 1)
-    entry.tick(100 + leaderSilentMs + 1)
+    assert.ok(entry.tickDueAt <= 100 + leaderTimeoutMs + 1)
+    entry.tick(100 + leaderTimeoutMs + 1)
     assert.equal(entry.leader, '')
   })
 
-  it('take answers of an earlier leadership for no sign of the present one', () => {
+  it('do not take answers of an earlier term as a sign of the present leader', () => {
     const entry = makeFollower()
     entry.step(100, heard(2))
-    entry.tick(leaderSilentMs + 1)
+    entry.tick(leaderTimeoutMs + 1)
     assert.equal(entry.leader, '')
   })
 })
 
-describe('instances that may help a leader', () => {
-  const { helperSilentMs } = defaultDiscoveryTiming
+describe('proxy candidates of a leader', () => {
+  const { proxyCandidateTimeoutMs } = defaultDiscoveryTiming
   const makeHost = (): DiscoveryMachine => {
     const options = { instance: 'host', zone: 'z', hostsVoter: true, seeds: ['a', 'b'] }
     return new DiscoveryMachine({ ...options, startedAt: 0 })
@@ -262,7 +262,7 @@
     return host.helpers(now).map(({ instance }) => instance)
   }
 
-  it('host voters, announce themselves and answer', () => {
+  it('are voter hosts that announce themselves and answer', () => {
     const host = makeHost()
     host.step(0, announced('a', true, 0))
     host.step(0, announced('b', true, 0))
@@ -272,19 +272,19 @@
     assert.deepEqual(host.helpers(10), [{ instance: 'b', zone: 'z' }])
   })
 
-  it('are none any more once they are silent, one way or the other', () => {
+  it('are dropped once they stop announcing themselves or answering', () => {
     const host = makeHost()
     host.step(0, announced('a', true, 0))
     host.step(0, told('a', '', 0))
-    host.step(helperSilentMs, told('a', '', 0))
-    assert.deepEqual(namesOf(host, helperSilentMs), ['a'])
-    assert.deepEqual(namesOf(host, helperSilentMs + 1), [])
-    host.step(helperSilentMs + 1, announced('a', true, helperSilentMs + 1))
-    assert.deepEqual(namesOf(host, helperSilentMs + 1), ['a'])
-    assert.deepEqual(namesOf(host, 2 * helperSilentMs + 1), [])
+    host.step(proxyCandidateTimeoutMs, told('a', '', 0))
+    assert.deepEqual(namesOf(host, proxyCandidateTimeoutMs), ['a'])
+    assert.deepEqual(namesOf(host, proxyCandidateTimeoutMs + 1), [])
+    host.step(proxyCandidateTimeoutMs + 1, announced('a', true, proxyCandidateTimeoutMs + 1))
+    assert.deepEqual(namesOf(host, proxyCandidateTimeoutMs + 1), ['a'])
+    assert.deepEqual(namesOf(host, 2 * proxyCandidateTimeoutMs + 1), [])
   })
 
-  it('are none any more once they are told to stop, and say so at once', () => {
+  it('announce immediately that they are about to stop, and are dropped', () => {
     const host = makeHost()
     host.step(0, told('a', '', 0))
     const other = new DiscoveryMachine({
--- a/packages/dispatch/src/lib/discovery/DiscoveryMachine.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryMachine.ts
@@ -21,17 +21,17 @@
   readonly timing?: Partial<DiscoveryTiming>
 }
 
-type VotersKnown = Extract<DiscoveryEvent, { kind: DiscoveryEventKind.Voters }>
+type VotersEvent = Extract<DiscoveryEvent, { kind: DiscoveryEventKind.Voters }>
 
-/** What an instance was last told, and when. */
-interface Told {
+/** The directory that an instance was last sent, and when. */
+interface SentDirectory {
   readonly directory: string
-  readonly at: number
+  readonly sentAt: number
 }
 
 /**
- * Finds the other instances from a few seeds: everyone announces itself to the hosts of voters,
- * which answer with the hosts that they know and with the leader.
+ * Discovers the other instances and the leader from a few seeds: every instance announces itself to
+ * the voter hosts, which answer with a directory of the voter hosts that they know and the leader.
  *
  * @public
  */
@@ -39,26 +39,26 @@
   readonly #options: DiscoveryOptions
   readonly #timing: DiscoveryTiming
   readonly #known: KnownInstances
-  /** When each was last told that this instance leads, in whatever words. */
-  readonly #toldAt = new Map<string, number>()
-  /** The last directory that each was sent. */
-  readonly #told = new Map<string, Told>()
+  /** When each instance was last sent any message that shows that this instance leads. */
+  readonly #leadershipSentAt = new Map<string, number>()
+  /** The last directory sent to each instance. */
+  readonly #sentDirectories = new Map<string, SentDirectory>()
   #peers: readonly string[] = []
   #announceDueAt = -Infinity
-  #tellDueAt = Infinity
+  #heartbeatDueAt = Infinity
   #leader = ''
   /**
-   * The leader as the own voter knows it. Only this is passed on: two instances that are cut off
-   * together would else tell each other of a lost leader again and again.
+   * The leader that the local voter follows. Only this one is sent to other instances; otherwise
+   * two instances in the same network partition would keep reporting a lost leader to each other.
    */
-  #followed = { leader: '', term: 0 }
+  #voterView = { leader: '', term: 0 }
   #term = 0
   #leaderHeardAt = -Infinity
   #leaderLostAt = -Infinity
-  /** When it is known whether the next leader can be found; Infinity while there is one. */
+  /** When the search for the next leader ends; Infinity while no search is running. */
   #searchDueAt = Infinity
   #isLeaving = false
-  #out: DiscoveryAction[] = []
+  #actions: DiscoveryAction[] = []
 
   constructor(options: DiscoveryOptions) {
     super()
@@ -67,19 +67,19 @@
     this.#known = new KnownInstances(options.instance, options.seeds)
   }
 
-  /** Empty while none is known. */
+  /** Name of the leader; empty while none is known. */
   get leader(): string {
     return this.#leader
   }
 
-  /** Hosts of voters that may be there, this instance left out. */
+  /** Known voter hosts other than this instance; some may be gone. */
   get voterHosts(): readonly string[] {
     return this.#known.voterHosts
   }
 
-  /** Other hosts of voters that hear this instance and are heard by it, and don't stop. */
+  /** Other voter hosts with a working link in both directions that are not about to stop. */
   helpers(now: number): ProxyInstance[] {
-    return this.#known.helpers(now, this.#timing.helperSilentMs)
+    return this.#known.proxyCandidates(now, this.#timing.proxyCandidateTimeoutMs)
   }
 
   override step(now: number, event: DiscoveryEvent): readonly DiscoveryAction[] {
@@ -88,82 +88,89 @@
         this.#onAnnounced(now, event.from, event.announcement)
         break
       case DiscoveryEventKind.Told:
-        this.#onTold(now, event.from, event.directory)
+        this.#onDirectory(now, event.from, event.directory)
         break
       case DiscoveryEventKind.Voters:
         this.#onVoters(now, event)
         break
       case DiscoveryEventKind.Heard:
-        this.#onHeard(now, event.from, event.term)
+        this.#onLeaderMessage(now, event.from, event.term)
         break
       case DiscoveryEventKind.Leaving:
         this.#isLeaving = true
         this.#announce(now)
         break
       case DiscoveryEventKind.Answered:
-        if (this.#leads) this.#toldAt.set(event.to, now)
+        if (this.#leads) this.#leadershipSentAt.set(event.to, now)
         break
     }
-    return this.#endStep()
+    return this.#takeActions()
   }
 
   override tick(now: number): readonly DiscoveryAction[] {
-    this.#forget(now)
+    this.#expire(now)
     if (now >= this.#announceDueAt) this.#announce(now)
-    if (now >= this.#tellDueAt) this.#tellFollowers(now)
+    if (now >= this.#heartbeatDueAt) this.#sendHeartbeats(now)
     if (now >= this.#searchDueAt) this.#endSearch()
-    return this.#endStep()
+    return this.#takeActions()
   }
 
   override get tickDueAt(): number {
-    const { leaderSilentMs } = this.#timing
-    const silentAt = this.#leader === '' ? Infinity : this.#leaderHeardAt + leaderSilentMs
-    return Math.min(this.#announceDueAt, this.#tellDueAt, silentAt, this.#searchDueAt)
+    const { leaderTimeoutMs } = this.#timing
+    const silentAt = this.#leader === '' ? Infinity : this.#leaderHeardAt + leaderTimeoutMs
+    return Math.min(this.#announceDueAt, this.#heartbeatDueAt, silentAt, this.#searchDueAt)
   }
 
   get #leads(): boolean {
-    return this.#followed.leader === this.#options.instance
+    return this.#voterView.leader === this.#options.instance
   }
 
-  #onVoters(now: number, { instances, leader, term }: VotersKnown): void {
-    this.#known.name(now, instances)
-    this.#followed = { leader, term }
-    this.#noteLeader(now, leader, term)
+  #onVoters(now: number, { instances, leader, term }: VotersEvent): void {
+    this.#known.recordVoterHosts(now, instances)
+    this.#voterView = { leader, term }
+    this.#updateLeader(now, leader, term)
     if (leader !== '') this.#leaderHeardAt = now
     else if (this.#leader === this.#options.instance) this.#setLeader(now, '', term)
-    if (!this.#leads) this.#tellDueAt = Infinity
-    else if (this.#tellDueAt === Infinity) this.#tellDueAt = now
+    if (!this.#leads) this.#heartbeatDueAt = Infinity
+    else if (this.#heartbeatDueAt === Infinity) this.#heartbeatDueAt = now
   }
 
-  /** Those that host no voter hear from the leader before they take it for lost. */
-  #tellFollowers(now: number): void {
-    const { leaderTellsMs } = this.#timing
-    let nextAt = now + leaderTellsMs
-    for (const name of this.#known.followers) {
-      const dueAt = (this.#toldAt.get(name) ?? -Infinity) + leaderTellsMs
-      if (now >= dueAt) this.#tell(now, name)
+  /**
+   * Sends a heartbeat to each instance without a voter to which this leader has sent nothing for a
+   * heartbeat interval, so that it doesn't consider the leader lost.
+   */
+  #sendHeartbeats(now: number): void {
+    const { leaderHeartbeatIntervalMs } = this.#timing
+    let nextAt = now + leaderHeartbeatIntervalMs
+    for (const name of this.#known.nonVoters) {
+      const dueAt = (this.#leadershipSentAt.get(name) ?? -Infinity) + leaderHeartbeatIntervalMs
+      if (now >= dueAt) this.#sendDirectory(now, name)
       else nextAt = Math.min(nextAt, dueAt)
     }
-    this.#tellDueAt = nextAt
+    this.#heartbeatDueAt = nextAt
   }
 
-  #endStep(): readonly DiscoveryAction[] {
+  #takeActions(): readonly DiscoveryAction[] {
     this.#refreshPeers()
-    const actions = this.#out
-    this.#out = []
+    const actions = this.#actions
+    this.#actions = []
     return actions
   }
 
-  #onHeard(now: number, from: string, term: number): void {
+  #onLeaderMessage(now: number, from: string, term: number): void {
     if (from !== this.#leader || term !== this.#term) return
     this.#leaderHeardAt = now
   }
 
   #announce(now: number): void {
     const { zone, hostsVoter, startedAt } = this.#options
-    const { announceMs, announceToHostsMs, announceByFollowersMs } = this.#timing
-    const calmMs = hostsVoter ? announceToHostsMs : announceByFollowersMs
-    this.#announceDueAt = now + (this.#leader === '' ? announceMs : calmMs)
+    const {
+      leaderlessAnnounceIntervalMs,
+      voterHostAnnounceIntervalMs,
+      nonVoterAnnounceIntervalMs,
+    } = this.#timing
+    const intervalMs = hostsVoter ? voterHostAnnounceIntervalMs : nonVoterAnnounceIntervalMs
+    this.#announceDueAt = now + (this.#leader === '' ? leaderlessAnnounceIntervalMs : intervalMs)
     const leaderless = this.#leader === ''
     const value = { zone, hostsVoter, ageMs: now - startedAt, leaving: this.#isLeaving, leaderless }
     for (const to of this.voterHosts) {
@@ -172,55 +179,57 @@
   }
 
   #onAnnounced(now: number, from: string, announcement: AnnounceInstance): void {
-    const isNew = this.#known.announce(now, from, announcement)
+    const isNew = this.#known.recordAnnouncement(now, from, announcement)
     if (isNew && announcement.hostsVoter) {
-      this.#out.push({ kind: DiscoveryActionKind.VoterHostSeen, instance: from })
+      this.#actions.push({ kind: DiscoveryActionKind.VoterHostSeen, instance: from })
     }
-    // A link has to be there before the answer can go out.
+    // The link to the sender must exist before the answer can be sent.
     this.#refreshPeers()
     const { hostsVoter, leaderless } = announcement
-    if (isNew || hostsVoter || leaderless || this.#hasNewsFor(now, from)) this.#tell(now, from)
+    if (isNew || hostsVoter || leaderless || this.#isDirectoryOutdated(now, from))
+      this.#sendDirectory(now, from)
   }
 
-  /** Whether an instance was told something else than it would be now, or nothing for long. */
-  #hasNewsFor(now: number, instance: string): boolean {
-    const told = this.#told.get(instance)
-    if (told === undefined || now - told.at >= this.#timing.answerMs) return true
-    return told.directory !== this.#directoryText()
+  /** True if an instance was not sent the current directory, or not within the refresh interval. */
+  #isDirectoryOutdated(now: number, instance: string): boolean {
+    const told = this.#sentDirectories.get(instance)
+    if (told === undefined || now - told.sentAt >= this.#timing.directoryRefreshIntervalMs)
+      return true
+    return told.directory !== this.#directoryKey()
   }
 
-  #tell(now: number, to: string): void {
-    this.#told.set(to, { directory: this.#directoryText(), at: now })
-    this.#toldAt.set(to, now)
+  #sendDirectory(now: number, to: string): void {
+    this.#sentDirectories.set(to, { directory: this.#directoryKey(), sentAt: now })
+    this.#leadershipSentAt.set(to, now)
     this.#send(to, this.#directory())
   }
 
-  #directoryText(): string {
-    const { leader, term } = this.#followed
+  #directoryKey(): string {
+    const { leader, term } = this.#voterView
     return `${leader} ${term} ${this.voterHosts.join(' ')}`
   }
 
   #directory(): Envelope {
     const { instance, hostsVoter } = this.#options
     const voterHosts = [...this.voterHosts, ...(hostsVoter ? [instance] : [])]
-    const value = { voterHosts, ...this.#followed }
+    const value = { voterHosts, ...this.#voterView }
     return envelope({ case: 'instanceDirectory', value })
   }
 
-  #onTold(now: number, from: string, { voterHosts, leader, term }: InstanceDirectory): void {
-    this.#known.noteAnswer(now, from)
-    this.#known.name(now, voterHosts)
-    this.#noteLeader(now, leader, term)
+  #onDirectory(now: number, from: string, { voterHosts, leader, term }: InstanceDirectory): void {
+    this.#known.recordAnswer(now, from)
+    this.#known.recordVoterHosts(now, voterHosts)
+    this.#updateLeader(now, leader, term)
     if (from !== this.#leader) return
     if (leader === from) this.#leaderHeardAt = now
     else if (leader === '') this.#setLeader(now, '', Math.max(term, this.#term))
   }
 
-  #noteLeader(now: number, leader: string, term: number): void {
+  #updateLeader(now: number, leader: string, term: number): void {
     if (leader === '' || term < this.#term) return
     if (leader === this.#leader && term === this.#term) return
     this.#setLeader(now, leader, term)
-    // It has this long to answer for itself.
+    // The leader must send a message itself within its timeout, which starts here.
     this.#leaderHeardAt = now
   }
 
@@ -228,34 +237,36 @@
     const wasOwn = this.#leader === this.#options.instance
     this.#leader = leader
     this.#term = term
-    this.#out.push({ kind: DiscoveryActionKind.LeaderChanged, leader, term })
-    // Whoever has lost its leader asks all hosts for the next one, at once and often.
+    this.#actions.push({ kind: DiscoveryActionKind.LeaderChanged, leader, term })
+    // Without a leader, ask all voter hosts for the next one immediately and at short intervals.
     if (leader === '') {
       this.#announceDueAt = now
       this.#leaderLostAt = now
-      this.#searchDueAt = now + this.#timing.searchMs
+      this.#searchDueAt = now + this.#timing.leaderSearchMs
     } else {
       this.#searchDueAt = Infinity
     }
-    // All who rely on this instance hear of it at once.
+    // If this instance became or ceased to be the leader, notify all announced instances.
     if (!this.#options.hostsVoter || (leader !== this.#options.instance && !wasOwn)) return
-    for (const to of this.#known.announced) this.#tell(now, to)
+    for (const to of this.#known.announced) this.#sendDirectory(now, to)
   }
 
-  /** Those that could elect the next leader, or know of it, have answered by now. */
+  /** Reports that no majority of the voter hosts has answered by the end of the search. */
   #endSearch(): void {
     this.#searchDueAt = Infinity
     const answered = this.#known.answeredSince(this.#leaderLostAt).length
     if (this.#options.hostsVoter || 2 * answered > this.voterHosts.length) return
-    this.#out.push({ kind: DiscoveryActionKind.NoLeaderInReach })
+    this.#actions.push({ kind: DiscoveryActionKind.NoLeaderInReach })
   }
 
-  #forget(now: number): void {
-    const { forgetMs, leaderSilentMs } = this.#timing
-    this.#known.forget(now, forgetMs)
-    for (const [name, { at }] of this.#told) if (now - at > forgetMs) this.#told.delete(name)
-    for (const [name, at] of this.#toldAt) if (now - at > forgetMs) this.#toldAt.delete(name)
-    if (this.#leader !== '' && now - this.#leaderHeardAt > leaderSilentMs) {
+  #expire(now: number): void {
+    const { peerExpiryMs, leaderTimeoutMs } = this.#timing
+    this.#known.expire(now, peerExpiryMs)
+    for (const [name, { sentAt }] of this.#sentDirectories)
+      if (now - sentAt > peerExpiryMs) this.#sentDirectories.delete(name)
+    for (const [name, at] of this.#leadershipSentAt)
+      if (now - at > peerExpiryMs) this.#leadershipSentAt.delete(name)
+    if (this.#leader !== '' && now - this.#leaderHeardAt > leaderTimeoutMs) {
       this.#setLeader(now, '', this.#term)
     }
   }
@@ -265,10 +276,10 @@
     if (peers === this.#peers) return
     const isSame = peers.join(' ') === this.#peers.join(' ')
     this.#peers = peers
-    if (!isSame) this.#out.unshift({ kind: DiscoveryActionKind.SetPeers, instances: peers })
+    if (!isSame) this.#actions.unshift({ kind: DiscoveryActionKind.SetPeers, instances: peers })
   }
 
   #send(to: string, message: Envelope): void {
-    this.#out.push({ kind: DiscoveryActionKind.Send, to, envelope: message })
+    this.#actions.push({ kind: DiscoveryActionKind.Send, to, envelope: message })
   }
 }
--- a/packages/dispatch/src/lib/discovery/DiscoveryTiming.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryTiming.ts
@@ -1,48 +1,50 @@
-/** Times of discovery, in milliseconds. @public */
+/** Intervals and timeouts of discovery, in milliseconds. @public */
 export interface DiscoveryTiming {
-  /** Between two announcements to all hosts of voters while no leader is known. */
-  readonly announceMs: number
-  /** The same between hosts of voters while there is a leader. */
-  readonly announceToHostsMs: number
-  /** The same of an instance that hosts no voter. */
-  readonly announceByFollowersMs: number
-  /** The leader says that it is there to each that it told nothing for so long. */
-  readonly leaderTellsMs: number
-  /** An instance that announces itself is answered at least this often, if nothing has changed. */
-  readonly answerMs: number
-  /** An instance that was silent for longer is no peer any more. */
-  readonly forgetMs: number
-  /** A leader that was silent for longer is taken for lost. */
-  readonly leaderSilentMs: number
+  /** Interval of announcements to all voter hosts while no leader is known. */
+  readonly leaderlessAnnounceIntervalMs: number
+  /** Interval of announcements between voter hosts while there is a leader. */
+  readonly voterHostAnnounceIntervalMs: number
+  /** Interval of announcements by instances without a voter while there is a leader. */
+  readonly nonVoterAnnounceIntervalMs: number
+  /** The leader sends a heartbeat to each instance to which it has sent nothing for this long. */
+  readonly leaderHeartbeatIntervalMs: number
+  /** Announcements are answered at least this often, even if the directory has not changed. */
+  readonly directoryRefreshIntervalMs: number
+  /** An instance that was silent for longer is removed from the peers. */
+  readonly peerExpiryMs: number
+  /** A leader that was silent for longer is considered lost. */
+  readonly leaderTimeoutMs: number
   /**
-   * A host of voters that neither announced itself nor answered for longer is no help now. Two
-   * announcements fit in, so that one may be lost.
+   * A voter host that has not announced itself, or has not answered, for longer is not used as a
+   * proxy. Two announcements fit in, so that one may be lost.
    */
-  readonly helperSilentMs: number
+  readonly proxyCandidateTimeoutMs: number
   /**
-   * Hosts of voters that are there have answered a search for the next leader by then. With no
-   * majority of them in reach nobody that is elected can be found.
+   * Duration of a search for the next leader: voter hosts that are up have answered by then. A
+   * newly elected leader can't be found unless a majority of them is reachable.
    */
-  readonly searchMs: number
+  readonly leaderSearchMs: number
 }
 
 /**
- * Only the leader has to be watched closely, and only by those that don't follow it by a voter of
- * their own: it tells them by itself, three times within the time after which it counts as lost,
- * and not while its answers to jobs tell the same. If each entry asked each host instead, messages
- * would grow with both. An election takes as long as a leader may be silent, so that callers are sent
- * on about when the next one leads.
+ * Only the leader needs close monitoring, and only by instances without a voter. The leader sends
+ * them heartbeats, three within the leader timeout, and none while its answers to jobs show the
+ * same. If each ingress instance polled each voter host instead, the number of messages would grow
+ * with the product of both.
+ *
+ * The leader timeout is as long as an election, so requests are redirected about when the next
+ * leader is elected.
  *
  * @public
  */
 export const defaultDiscoveryTiming: DiscoveryTiming = {
-  announceMs: 100,
-  announceToHostsMs: 500,
-  announceByFollowersMs: 1_000,
-  leaderTellsMs: 140,
-  answerMs: 4_000,
-  forgetMs: 15_000,
-  leaderSilentMs: 450,
-  helperSilentMs: 1_200,
-  searchMs: 200,
+  leaderlessAnnounceIntervalMs: 100,
+  voterHostAnnounceIntervalMs: 500,
+  nonVoterAnnounceIntervalMs: 1_000,
+  leaderHeartbeatIntervalMs: 140,
+  directoryRefreshIntervalMs: 4_000,
+  peerExpiryMs: 15_000,
+  leaderTimeoutMs: 450,
+  proxyCandidateTimeoutMs: 1_200,
+  leaderSearchMs: 200,
 }
--- a/packages/dispatch/src/lib/discovery/KnownInstances.ts
+++ b/packages/dispatch/src/lib/discovery/KnownInstances.ts
@@ -1,8 +1,8 @@
 import type { AnnounceInstance } from '@cherryhitch/protocol'
 import type { ProxyInstance } from '../orders/ProxyAssignments'
 
-/** What an instance said of itself. */
-interface Announced {
+/** The content of an instance's last announcement. */
+interface AnnouncedInstance {
   readonly zone: string
   readonly hostsVoter: boolean
   readonly isLeaving: boolean
@@ -10,22 +10,22 @@
   readonly startedAt: number
 }
 
-/** Start times of one process, reckoned from its ages, differ by less than this. */
-const SAME_START_MS = 1_000
+/** Start times computed from the announced ages of one process differ by less, in milliseconds. */
+const START_TIME_TOLERANCE_MS = 1_000
 
 /**
- * The other instances, as they announced themselves and as others name them.
+ * The other instances, from their own announcements and from the directories of others.
  *
- * Its lists are kept until a name comes or goes: made anew for each message, those of 33 instances took a
- * leader longer than all else that it does for discovery.
+ * The lists are cached until an instance is added or removed. When they were rebuilt for each
+ * message, the lists of 33 instances took a leader longer than the rest of discovery together.
  *
  * @internal
  */
 export class KnownInstances {
-  readonly #announced = new Map<string, Announced>()
-  /** Hosts of voters that others name, and when they last did. */
-  readonly #named = new Map<string, number>()
-  /** When each last answered an announcement. */
+  readonly #announced = new Map<string, AnnouncedInstance>()
+  /** When each voter host was last listed in a directory of another instance. */
+  readonly #reportedHosts = new Map<string, number>()
+  /** When each instance last answered an announcement. */
   readonly #answeredAt = new Map<string, number>()
   #voterHosts: readonly string[] | undefined
   #all: readonly string[] | undefined
@@ -35,57 +35,57 @@
     private readonly seeds: readonly string[],
   ) {}
 
-  /** Hosts of voters that may be there. */
+  /** Known voter hosts, including the seeds; some may be gone. */
   get voterHosts(): readonly string[] {
     this.#voterHosts ??= this.#listVoterHosts()
     return this.#voterHosts
   }
 
-  /** All of them, in the order of their names. The list is the same one until one comes or goes. */
+  /** All known instances, sorted by name. Returns the same array until the set changes. */
   get all(): readonly string[] {
     this.#all ??= [...new Set([...this.voterHosts, ...this.#announced.keys()])].sort()
     return this.#all
   }
 
-  /** Those that announced themselves. */
+  /** Instances that announced themselves. */
   get announced(): IterableIterator<string> {
     return this.#announced.keys()
   }
 
-  /** Those of them that host no voter, and so don't follow the leader by themselves. */
-  get followers(): readonly string[] {
+  /** Announced instances without a voter, which don't follow the leader through a voter. */
+  get nonVoters(): readonly string[] {
     return [...this.#announced].flatMap(([name, { hostsVoter }]) => (hostsVoter ? [] : name))
   }
 
-  /** Takes an announcement in; true when its process was not known. */
-  announce(now: number, from: string, announcement: AnnounceInstance): boolean {
+  /** Records an announcement. Returns true if it is the first one of its process. */
+  recordAnnouncement(now: number, from: string, announcement: AnnounceInstance): boolean {
     const { zone, hostsVoter, ageMs, leaving: isLeaving } = announcement
     const startedAt = now - ageMs
     const known = this.#announced.get(from)
     this.#announced.set(from, { zone, hostsVoter, isLeaving, heardAt: now, startedAt })
-    if (known?.hostsVoter !== hostsVoter) this.#forgetLists()
-    return known === undefined || Math.abs(known.startedAt - startedAt) > SAME_START_MS
+    if (known?.hostsVoter !== hostsVoter) this.#invalidateLists()
+    return known === undefined || Math.abs(known.startedAt - startedAt) > START_TIME_TOLERANCE_MS
   }
 
-  /** Another instance names hosts of voters. */
-  name(now: number, hosts: readonly string[]): void {
+  /** Records the voter hosts that another instance lists. */
+  recordVoterHosts(now: number, hosts: readonly string[]): void {
     for (const host of hosts) {
-      if (!this.#named.has(host)) this.#forgetLists()
-      this.#named.set(host, now)
+      if (!this.#reportedHosts.has(host)) this.#invalidateLists()
+      this.#reportedHosts.set(host, now)
     }
   }
 
-  noteAnswer(now: number, from: string): void {
+  recordAnswer(now: number, from: string): void {
     this.#answeredAt.set(from, now)
   }
 
-  /** Hosts of voters that have answered an announcement since a time. */
+  /** Voter hosts that have answered an announcement after a given time. */
   answeredSince(time: number): readonly string[] {
     return this.voterHosts.filter((host) => (this.#answeredAt.get(host) ?? -Infinity) > time)
   }
 
-  /** Other hosts of voters that were heard and have answered within a time, and don't stop. */
-  helpers(now: number, withinMs: number): ProxyInstance[] {
+  /** Voter hosts that have both announced themselves and answered recently, and are not leaving. */
+  proxyCandidates(now: number, withinMs: number): ProxyInstance[] {
     return [...this.#announced].flatMap(([instance, { zone, hostsVoter, isLeaving, heardAt }]) => {
       const answeredAt = this.#answeredAt.get(instance) ?? -Infinity
       const isSilent = now - Math.min(heardAt, answeredAt) > withinMs
@@ -93,26 +93,26 @@
     })
   }
 
-  /** Forgets what is older than a time. */
-  forget(now: number, afterMs: number): void {
+  /** Removes what was last updated more than `afterMs` ago. */
+  expire(now: number, afterMs: number): void {
     const isOld = (at: number): boolean => now - at > afterMs
     for (const [name, { heardAt }] of this.#announced) {
-      if (isOld(heardAt) && this.#announced.delete(name)) this.#forgetLists()
+      if (isOld(heardAt) && this.#announced.delete(name)) this.#invalidateLists()
     }
     for (const [name, at] of this.#answeredAt) if (isOld(at)) this.#answeredAt.delete(name)
-    for (const [name, at] of this.#named) {
-      if (isOld(at) && this.#named.delete(name)) this.#forgetLists()
+    for (const [name, at] of this.#reportedHosts) {
+      if (isOld(at) && this.#reportedHosts.delete(name)) this.#invalidateLists()
     }
   }
 
-  #forgetLists(): void {
+  #invalidateLists(): void {
     this.#voterHosts = undefined
     this.#all = undefined
   }
 
   #listVoterHosts(): readonly string[] {
     const hosts = [...this.#announced].flatMap(([name, { hostsVoter }]) => (hostsVoter ? name : []))
-    const all = new Set([...this.seeds, ...hosts, ...this.#named.keys()])
+    const all = new Set([...this.seeds, ...hosts, ...this.#reportedHosts.keys()])
     all.delete(this.own)
     return [...all]
   }
--- a/packages/dispatch/src/lib/discovery/instanceNames.ts
+++ b/packages/dispatch/src/lib/discovery/instanceNames.ts
@@ -1,6 +1,6 @@
 /**
- * Name of the instance at an IP address. Instances are named by their addresses, so that whoever
- * hears of one knows where it is; names take no dots.
+ * Name of the instance at an IP address. Instances are named after their addresses, so a name is
+ * enough to connect to one. Names may not contain dots.
  *
  * @public
  */
--- a/packages/dispatch/src/lib/jobs/IntakeLimit.ts
+++ b/packages/dispatch/src/lib/jobs/IntakeLimit.ts
@@ -1,62 +1,69 @@
 /**
- * How far a step may lie behind, in milliseconds: from when its first message came until it is over.
- * What a leader takes in waits so long for its turn, and then once more for each order and each
- * answer, and even the shortest jobs have to get through four steps in time.
+ * Mean step delay above which the limit is lowered, in milliseconds. The delay of a step lasts from
+ * the receipt of its first message to its end. A job waits that long on arrival and again for each
+ * order and each answer, and even the shortest jobs need four steps within their objective.
  */
-const MOST_BEHIND_MS = 24
+const MAX_DELAY_MS = 24
 /**
- * A step counts as no further behind than this, in milliseconds: after a standstill of seconds, two
- * steps more have to show that there is still too little time.
+ * Cap on a single delay sample, in milliseconds. After a stall of several seconds, two further slow
+ * steps are needed before the limit is lowered.
  */
-const MOST_NOTED_MS = 100
+const DELAY_SAMPLE_CAP_MS = 100
 /**
- * Weight of the last step in what is taken for the present state: a single pause, such as a collection of
- * garbage, is no lack of time.
+ * Weight of the latest step in the moving averages. It is low because a single pause, such as a
+ * garbage collection, is not an overload.
  */
-const WEIGHT = 1 / 8
-/** Factors on the limit, a step: while the instance is behind, and when it isn't any more. */
-const FALL = 0.9
-const RISE = 1.03
-/** From here on there is no limit: fewer jobs than these come in one step, also after a pause. */
-const NO_LIMIT = 500
+const SMOOTHING_FACTOR = 1 / 8
+/** Factors applied to the limit after each step: during an overload, and after it. */
+const DECREASE_FACTOR = 0.9
+const INCREASE_FACTOR = 1.03
+/** At this value the limit is off: fewer jobs arrive in one step, even after a pause. */
+const UNLIMITED_JOBS_PER_STEP = 500
 
 /**
- * How many new jobs an instance takes in with one step. One that needs more time than it has would
- * fall behind ever more: all that it took in would come late, and so would the leases that it
- * renews. It refuses at once what it has no time for, before any work on it, and keeps its time for what it has
- * taken in.
+ * Adaptive limit on the number of new jobs that an instance admits per step (load shedding).
  *
- * It answers a load above what the instance's processor can do, whatever the endpoints could.
+ * Without it, an instance with more work than processor time falls further and further behind:
+ * all admitted jobs finish late, and leases are renewed late. Excess jobs are refused before any
+ * work is done on them, which leaves the processor time to the admitted ones.
+ *
+ * The limit reacts to the load on the instance's own processor, independently of the capacity of
+ * the endpoints.
  *
  * @internal
  */
 export class IntakeLimit {
-  #limit = NO_LIMIT
-  #taken = 0
-  #meanTaken = 0
-  #meanBehindMs = 0
+  #limit = UNLIMITED_JOBS_PER_STEP
+  #admitted = 0
+  #meanAdmitted = 0
+  #meanDelayMs = 0
 
-  /** Whether one more job may be taken in with this step. */
+  /** Whether one more job may be admitted in this step. If so, it is counted. */
   admit(): boolean {
-    if (this.isBinding && this.#taken >= Math.max(1, Math.floor(this.#limit))) return false
-    this.#taken++
+    if (this.isBinding && this.#admitted >= Math.max(1, Math.floor(this.#limit))) return false
+    this.#admitted++
     return true
   }
 
-  /** True while jobs may be refused. */
+  /** True while the limit is on, so that jobs may be refused. */
   get isBinding(): boolean {
-    return this.#limit < NO_LIMIT
+    return this.#limit < UNLIMITED_JOBS_PER_STEP
   }
 
-  /** A step is over; its first message came so long before. */
+  /**
+   * Updates the limit at the end of a step.
+   *
+   * @param behindMs - time since the first message of the step was received, in milliseconds
+   */
   noteStep(behindMs: number): void {
-    this.#meanBehindMs += (Math.min(behindMs, MOST_NOTED_MS) - this.#meanBehindMs) * WEIGHT
-    this.#meanTaken += (this.#taken - this.#meanTaken) * WEIGHT
-    this.#taken = 0
-    if (this.#meanBehindMs > MOST_BEHIND_MS) {
-      this.#limit = Math.max(1, Math.min(this.#limit, this.#meanTaken) * FALL)
+    this.#meanDelayMs +=
+      (Math.min(behindMs, DELAY_SAMPLE_CAP_MS) - this.#meanDelayMs) * SMOOTHING_FACTOR
+    this.#meanAdmitted += (this.#admitted - this.#meanAdmitted) * SMOOTHING_FACTOR
+    this.#admitted = 0
+    if (this.#meanDelayMs > MAX_DELAY_MS) {
+      this.#limit = Math.max(1, Math.min(this.#limit, this.#meanAdmitted) * DECREASE_FACTOR)
     } else if (this.isBinding) {
-      this.#limit = Math.min(NO_LIMIT, this.#limit * RISE)
+      this.#limit = Math.min(UNLIMITED_JOBS_PER_STEP, this.#limit * INCREASE_FACTOR)
     }
   }
 }
--- a/packages/dispatch/src/lib/jobs/Job.ts
+++ b/packages/dispatch/src/lib/jobs/Job.ts
@@ -1,15 +1,15 @@
 import type { JobStep, Route, SteppedJob } from '@cherryhitch/protocol'
 import type { Run } from '../runs/Run'
 
-/** Thousandths of a core in a whole one. */
-const MILLIS = 1_000
+const MILLICORES_PER_CORE = 1_000
 
 /** @internal */
 export enum TaskState {
-  /** Steps before its own are not done. */
+  /** Waits for the steps that its own step depends on. */
   Blocked = 'blocked',
+  /** Ready to start; waits for an endpoint. */
   Waiting = 'waiting',
-  /** Ordered to an endpoint, or running there. */
+  /** Sent to an endpoint, or running there. */
   Placed = 'placed',
   Done = 'done',
 }
@@ -19,62 +19,63 @@
   readonly job: Job
   readonly name: string
   readonly step: number
-  /** Changed by its job alone, which counts its tasks by state. */
+  /** Written only by the job, which counts its tasks by state. */
   readonly state: TaskState
   /** Runs that ended as failed. */
   failures: number
-  /** Highest run number that was used. */
+  /** Highest run number used so far. */
   lastRun: number
-  /** Endpoints where a run of it failed or was lost. */
+  /** Endpoints on which a run of this task failed or was lost. */
   readonly avoid: Set<string>
-  /** Endpoints where a run of it was stopped since it took too long. */
+  /** Endpoints on which a run of this task was stopped because it took too long. */
   readonly overrunAt: Set<string>
-  /** An endpoint was lost under it, and it may be the cause. */
+  /** An endpoint was lost while running this task, and the task may have crashed it. */
   isSuspect: boolean
   run: Run | undefined
 }
 
-/** Who waits for the verdict. @internal */
+/** An open request that waits for the verdict of a job. @internal */
 export interface JobWaiter {
+  /** Instance through which the caller sent the request. */
   readonly instance: string
   readonly requestId: string
 }
 
-/** How often something went wrong with the runs of a job. @internal */
-export interface JobMishaps {
-  /** Orders to start that got no answer. */
+/** Counts of abnormal events in the runs of a job. The keys are fields of a log line. @internal */
+export interface RunAnomalies {
+  /** Start orders that were not answered. */
   unansweredStarts: number
-  /** Runs whose endpoint was lost, or let its lease run out. */
+  /** Runs whose endpoint was lost or whose lease expired. */
   lostRuns: number
   /** Runs that took far longer than estimated. */
   overruns: number
 }
 
 /** @internal */
-export interface JobContent {
+export interface JobOptions {
   readonly id: string
   readonly route: Route
   readonly spec: SteppedJob
   readonly arrivedAt: number
   readonly deadlineAt: number
-  /** Estimated run time of a task of each step, in milliseconds. */
+  /** Estimated run time of one task of each step, in milliseconds. */
   readonly stepMs: readonly number[]
-  /** What is kept back of its time before its last moment to start, in milliseconds. */
+  /** Safety margin before the latest start time, in milliseconds. */
   readonly startMarginMs: number
-  /** Run numbers begin above this, since an earlier leader may have used lower ones. */
+  /** Run numbers start above this value, because an earlier leader may have used lower ones. */
   readonly firstRun: number
-  /** An earlier leader may have started it. */
+  /** An earlier leader may have started the job. */
   readonly isResumed: boolean
-  /** Told when a task has changed its state. */
-  readonly onMove?: (job: Job) => void
+  /** Called when the state or the estimate of a task has changed. */
+  readonly onTaskStateChange?: (job: Job) => void
 }
 
-/** A task as its job sees it. */
-type OwnTask = Omit<Task, 'state'> & { state: TaskState }
+/** A task with writable state, as its job uses it. */
+type MutableTask = Omit<Task, 'state'> & { state: TaskState }
 
 /**
- * A job and its tasks. What placing asks in each round is kept up to date where a task changes its
- * state, so that jobs without news cost nothing.
+ * A job and its tasks. The values that the scheduler reads in each round are updated when a task
+ * changes state, so that unchanged jobs cost nothing.
  *
  * @internal
  */
@@ -85,106 +86,107 @@
   readonly arrivedAt: number
   deadlineAt: number
   readonly startMarginMs: number
-  /** An earlier leader may have started it. */
+  /** An earlier leader may have started the job. */
   readonly isResumed: boolean
   readonly tasks: readonly Task[]
   readonly waiters: JobWaiter[] = []
-  /** True once a task was ordered to start, here or by an earlier leader. */
+  /** True once a start order was sent for a task, by this leader or an earlier one. */
   hasStarted: boolean
   firstStartAt: number | undefined
   lastStartAt: number | undefined
-  /** What went wrong with its runs, for the log. */
-  readonly mishaps: JobMishaps = { unansweredStarts: 0, lostRuns: 0, overruns: 0 }
-  /** It was found that it gets its places in time; until then it may be refused at the door. */
+  /** Abnormal events in its runs, for the log. */
+  readonly mishaps: RunAnomalies = { unansweredStarts: 0, lostRuns: 0, overruns: 0 }
+  /** Admission control has passed the job; until then it may be refused. */
   isAdmitted: boolean
-  /** Nobody waits for it: nothing more is started, and it goes once nothing runs. */
+  /** The verdict was given: no task is started any more, and the job is removed once none runs. */
   isClosed = false
   endpointsUsed = new Set<string>()
-  readonly #onMove: (job: Job) => void
-  /** Tasks of each step that are not done. */
-  readonly #leftOfStep: number[]
-  #left: number
+  readonly #onTaskStateChange: (job: Job) => void
+  /** Number of tasks of each step that are not done. */
+  readonly #unfinishedByStep: number[]
+  #unfinished: number
   #placed = 0
   #waiting: readonly Task[] | undefined
   #remainingMs: number | undefined
   readonly #stepMs: number[]
-  #chainMs: number
+  #criticalPathMs: number
 
-  constructor(content: JobContent) {
-    const { id, route, spec, arrivedAt, deadlineAt, stepMs, firstRun, isResumed } = content
+  constructor(options: JobOptions) {
+    const { id, route, spec, arrivedAt, deadlineAt, stepMs, firstRun, isResumed } = options
     this.id = id
     this.route = route
     this.spec = spec
     this.arrivedAt = arrivedAt
     this.deadlineAt = deadlineAt
     this.#stepMs = [...stepMs]
-    this.startMarginMs = content.startMarginMs
+    this.startMarginMs = options.startMarginMs
     this.isResumed = isResumed
     this.hasStarted = isResumed
     this.isAdmitted = isResumed
-    this.#chainMs = longestChain(spec.steps, stepMs)
+    this.#criticalPathMs = computeCriticalPathMs(spec.steps, stepMs)
     this.tasks = spec.steps.flatMap((step, number) => this.#makeTasks(step, number, firstRun))
-    this.#leftOfStep = spec.steps.map(({ count }) => count)
-    this.#left = this.tasks.length
-    this.#onMove = content.onMove ?? (() => undefined)
+    this.#unfinishedByStep = spec.steps.map(({ count }) => count)
+    this.#unfinished = this.tasks.length
+    this.#onTaskStateChange = options.onTaskStateChange ?? (() => undefined)
   }
 
-  /** Estimated run time of a task of each step, in milliseconds. */
+  /** Estimated run time of one task of each step, in milliseconds. */
   get stepMs(): readonly number[] {
     return this.#stepMs
   }
 
-  /** Longest chain of dependent work, in milliseconds. */
-  get chainMs(): number {
-    return this.#chainMs
+  /** Estimated duration of the longest chain of dependent steps, in milliseconds. */
+  get criticalPathMs(): number {
+    return this.#criticalPathMs
   }
 
-  /** Instant until which the caller is served well. */
+  /** Time by which the job must finish to meet the latency objective of its route. */
   get objectiveAt(): number {
-    return this.arrivedAt + this.route.stretch * this.#chainMs + this.route.targetMs
+    return this.arrivedAt + this.route.stretch * this.#criticalPathMs + this.route.targetMs
   }
 
-  /** Tasks that wait for an endpoint. The list is the same one until a task changes its state. */
+  /** Tasks that wait for an endpoint. Returns the same array until a task changes state. */
   get waiting(): readonly Task[] {
     this.#waiting ??= this.tasks.filter(({ state }) => state === TaskState.Waiting)
     return this.#waiting
   }
 
-  /** Some of it runs or is done. */
+  /** True if a task is placed or done. */
   get isUnderWay(): boolean {
-    return this.#placed > 0 || this.#left < this.tasks.length
+    return this.#placed > 0 || this.#unfinished < this.tasks.length
   }
 
   get isDone(): boolean {
-    return this.#left === 0
+    return this.#unfinished === 0
   }
 
-  /** A task of it changes its state. */
+  /** Changes the state of a task and updates the counts of the job. */
   move(task: Task, state: TaskState): void {
     const before = task.state
     if (before === state) return
-    ;(task as OwnTask).state = state
+    ;(task as MutableTask).state = state
     this.#placed += countIf(state === TaskState.Placed) - countIf(before === TaskState.Placed)
-    const left = countIf(before === TaskState.Done) - countIf(state === TaskState.Done)
-    this.#left += left
-    this.#leftOfStep[task.step] = (this.#leftOfStep[task.step] ?? 0) + left
-    if (left !== 0) this.#remainingMs = undefined
+    const change = countIf(before === TaskState.Done) - countIf(state === TaskState.Done)
+    this.#unfinished += change
+    this.#unfinishedByStep[task.step] = (this.#unfinishedByStep[task.step] ?? 0) + change
+    if (change !== 0) this.#remainingMs = undefined
     this.#waiting = undefined
-    this.#onMove(this)
+    this.#onTaskStateChange(this)
   }
 
-  /** A task has shown that those of its step take at least so long, in milliseconds. */
+  /** Raises the estimate for the step of a task that has already run for `ms` milliseconds. */
   raiseEstimate({ step }: Task, ms: number): void {
     if (ms <= this.#ms(step)) return
     this.#stepMs[step] = ms
-    this.#chainMs = longestChain(this.spec.steps, this.#stepMs)
+    this.#criticalPathMs = computeCriticalPathMs(this.spec.steps, this.#stepMs)
     this.#remainingMs = undefined
-    this.#onMove(this)
+    this.#onTaskStateChange(this)
   }
 
   step(task: Task): JobStep {
     const step = this.spec.steps[task.step]
-    if (step === undefined) throw new Error(`task ${task.name} has no step`)
+    if (step === undefined)
+      throw new Error(`task ${task.name} has a step number that its job does not have`)
     return step
   }
 
@@ -193,26 +195,29 @@
     return this.#ms(task.step)
   }
 
-  /** Run time still ahead on the longest chain, in milliseconds, if all waiting tasks began now. */
+  /**
+   * Estimated time until the job is done, in milliseconds, if all waiting tasks started now: the
+   * duration of the longest chain of steps that are not done.
+   */
   remainingMs(): number {
-    this.#remainingMs ??= this.#chainLeftMs()
+    this.#remainingMs ??= this.#computeRemainingMs()
     return this.#remainingMs
   }
 
-  #chainLeftMs(): number {
+  #computeRemainingMs(): number {
     const left = this.spec.steps.map((_, step) => (this.#isStepDone(step) ? 0 : this.#ms(step)))
-    return longestChain(this.spec.steps, left)
+    return computeCriticalPathMs(this.spec.steps, left)
   }
 
-  /** All of its work as estimated, in milliseconds of a core. */
+  /** Estimated processor time of all tasks, in core milliseconds. */
   get workMs(): number {
     const ofTask = (task: Task): number => {
       return this.#ms(task.step) * (this.step(task).needs?.cpuMillis ?? 0)
     }
-    return this.tasks.reduce((sum, task) => sum + ofTask(task), 0) / MILLIS
+    return this.tasks.reduce((sum, task) => sum + ofTask(task), 0) / MILLICORES_PER_CORE
   }
 
-  /** Lets tasks wait for an endpoint whose earlier steps are done. */
+  /** Moves blocked tasks to `Waiting` once all steps that they depend on are done. */
   unblock(): void {
     for (const task of this.tasks) {
       if (task.state !== TaskState.Blocked) continue
@@ -223,7 +228,7 @@
   }
 
   #isStepDone(step: number): boolean {
-    return this.#leftOfStep[step] === 0
+    return this.#unfinishedByStep[step] === 0
   }
 
   #ms(step: number): number {
@@ -250,8 +255,11 @@
   return condition ? 1 : 0
 }
 
-/** Sum of the times along the longest chain of steps that depend on each other. @internal */
-export function longestChain(steps: readonly JobStep[], stepMs: readonly number[]): number {
+/** Sum of the times along the longest chain of dependent steps. @internal */
+export function computeCriticalPathMs(
+  steps: readonly JobStep[],
+  stepMs: readonly number[],
+): number {
   const ends: number[] = []
   for (const [number, { dependsOn }] of steps.entries()) {
     const before = dependsOn.map((step) => ends[step] ?? 0)
--- a/packages/dispatch/src/lib/jobs/JobBook.ts
+++ b/packages/dispatch/src/lib/jobs/JobBook.ts
@@ -5,7 +5,7 @@
 import type { DispatchCore, OutcomeFields } from '../DispatchCore'
 import { Mechanism } from '@cherryhitch/model'
 import { startMargin } from '../scheduling/latestStart'
-import { Job, longestChain, TaskState } from './Job'
+import { Job, computeCriticalPathMs, TaskState } from './Job'
 import type { JobWaiter, Task } from './Job'
 
 interface EndedJob {
@@ -14,21 +14,22 @@
   readonly endedAt: number
 }
 
-/** Run numbers that one leader may use for a task before those of the next one begin. */
+/** Run numbers reserved per task for each leader; the next leader starts after them. */
 const RUNS_PER_LEADER = 16
-/** Ended jobs remembered at most; about three minutes of the users' heaviest load. */
-const MAX_ENDED = 20_000
+/** Maximum number of retained verdicts: about three minutes at the highest load of our users. */
+const MAX_RETAINED_VERDICTS = 20_000
 
-/** The jobs that are open here, and the verdicts of those that ended lately. @internal */
+/** The open jobs of this leader, and the verdicts of recently ended ones. @internal */
 export class JobBook {
   readonly #jobs = new Map<string, Job>()
-  /** Those that somebody waits for, and of them those with tasks that wait for an endpoint. */
+  /** Jobs without a verdict. */
   readonly #open = new Set<Job>()
+  /** Open jobs with tasks that wait for an endpoint. */
   readonly #waiting = new Set<Job>()
-  /** Those that came, changed or went since they were last handed out. */
+  /** Jobs that were added, changed or closed since the last `drainChanged`. */
   readonly #changed = new Set<Job>()
   readonly #ended = new Map<string, EndedJob>()
-  /** Which job each open request waits for. */
+  /** The job that each open request waits for. */
   readonly #requests = new Map<string, Job>()
 
   constructor(private readonly core: DispatchCore) {}
@@ -37,12 +38,12 @@
     return this.#jobs.size
   }
 
-  /** Jobs that somebody waits for; they may be closed while it is gone through. */
+  /** Jobs without a verdict. Jobs may be closed during iteration. */
   get open(): ReadonlySet<Job> {
     return this.#open
   }
 
-  /** Those of them with tasks that wait for an endpoint. */
+  /** Open jobs with tasks that wait for an endpoint. */
   get waiting(): ReadonlySet<Job> {
     return this.#waiting
   }
@@ -51,31 +52,31 @@
     return this.#jobs.get(id)
   }
 
-  ended(id: string): EndedJob | undefined {
+  endedJob(id: string): EndedJob | undefined {
     return this.#ended.get(id)
   }
 
   /**
-   * Notes that a job was cancelled which is not known here: an entry may still hand it over, since
-   * an earlier leader had it.
+   * Records the cancellation of a job that this leader does not know. An earlier leader may have
+   * had it, in which case an ingress instance may still submit it here.
    */
-  noteCancelled(now: number, id: string): void {
-    // One that has ended here keeps its verdict, or it would be run once more when it is sent again.
+  recordCancelled(now: number, id: string): void {
+    // An ended job keeps its verdict; otherwise a repeated request would run it again.
     if (this.#ended.has(id)) return
-    this.#remember(now, id, JobVerdict.CANCELLED, 'cancelled by its caller')
+    this.#retainVerdict(now, id, JobVerdict.CANCELLED, 'cancelled by its caller')
   }
 
-  requested(instance: string, requestId: string): Job | undefined {
+  jobOfRequest(instance: string, requestId: string): Job | undefined {
     return this.#requests.get(requestKey({ instance, requestId }))
   }
 
-  /** Makes a job of a request, or revives one that was given up and whose runs still end. */
-  take(now: number, spec: SteppedJob, route: Route, req: SubmitJob): Job {
+  /** Creates the job of a request, or reopens a closed one that still has runs to end. */
+  accept(now: number, spec: SteppedJob, route: Route, req: SubmitJob): Job {
     const deadlineAt = now + req.remainingMs
     const known = this.#jobs.get(spec.jobId)
     if (known !== undefined) {
       known.isClosed = false
-      this.#noteOpen(known)
+      this.#updateIndexes(known)
       known.deadlineAt = Math.max(known.deadlineAt, deadlineAt)
       return known
     }
@@ -88,38 +89,40 @@
       arrivedAt: now - req.waitedMs,
       deadlineAt,
       stepMs,
-      startMarginMs: keepsMargin ? startMargin(route, longestChain(spec.steps, stepMs)) : 0,
+      startMarginMs: keepsMargin
+        ? startMargin(route, computeCriticalPathMs(spec.steps, stepMs))
+        : 0,
       firstRun: req.earlierAttempts * RUNS_PER_LEADER,
       isResumed: req.earlierAttempts > 0,
-      onMove: (changed) => {
-        if (this.#open.has(changed)) this.#noteOpen(changed)
+      onTaskStateChange: (changed) => {
+        if (this.#open.has(changed)) this.#updateIndexes(changed)
       },
     })
     this.#jobs.set(job.id, job)
-    this.#noteOpen(job)
+    this.#updateIndexes(job)
     this.#ended.delete(job.id)
     this.core.counters.jobs_taken++
     return job
   }
 
-  wait(job: Job, waiter: JobWaiter): void {
+  addWaiter(job: Job, waiter: JobWaiter): void {
     job.waiters.push(waiter)
     this.#requests.set(requestKey(waiter), job)
   }
 
-  /** The caller is gone; gives the job when nobody waits for it any more. */
-  leave(instance: string, requestId: string): Job | undefined {
-    const job = this.requested(instance, requestId)
+  /** Removes the request of a caller that left; returns its job if no request waits for it. */
+  removeWaiter(instance: string, requestId: string): Job | undefined {
+    const job = this.jobOfRequest(instance, requestId)
     if (job === undefined) return undefined
     this.#requests.delete(requestKey({ instance, requestId }))
-    const at = job.waiters.findIndex((waiter) => {
+    const index = job.waiters.findIndex((waiter) => {
       return waiter.instance === instance && waiter.requestId === requestId
     })
-    job.waiters.splice(at, 1)
+    job.waiters.splice(index, 1)
     return job.waiters.length === 0 ? job : undefined
   }
 
-  /** Gives all who wait the verdict; the job stays until nothing of it runs. */
+  /** Sends the verdict to all waiting requests. The job is kept until none of its tasks runs. */
   close(
     now: number,
     job: Job,
@@ -137,18 +140,18 @@
     }
     job.waiters.length = 0
     this.#count(verdict)
-    this.#report(now, job, verdict, more.reason)
-    // What truly did not run may be sent again as if it had never come.
-    if (verdict !== JobVerdict.REFUSED) this.#remember(now, job.id, verdict, more.reason)
-    this.removeIfOver(job)
+    this.#logEnd(now, job, verdict, more.reason)
+    // A refused job did not run, so a repeated request for it counts as a new one.
+    if (verdict !== JobVerdict.REFUSED) this.#retainVerdict(now, job.id, verdict, more.reason)
+    this.removeIfFinished(job)
   }
 
-  removeIfOver(job: Job): void {
+  removeIfFinished(job: Job): void {
     if (!job.isClosed || job.tasks.some(({ run }) => run !== undefined)) return
     this.#jobs.delete(job.id)
   }
 
-  /** All of it goes: another instance leads. */
+  /** Removes all jobs after the loss of leadership, and answers the waiting requests. */
   dropAll(verdict: JobVerdict, reason: string): void {
     for (const job of this.#jobs.values()) {
       for (const waiter of job.waiters) this.core.answer(waiter, verdict, { reason })
@@ -161,7 +164,8 @@
     this.#ended.clear()
   }
 
-  pendingOf(route: Route): number {
+  /** Number of open jobs of a route that have not started. */
+  countPending(route: Route): number {
     let pending = 0
     for (const job of this.#open) {
       if (job.route.name === route.name && !job.hasStarted) pending++
@@ -169,13 +173,13 @@
     return pending
   }
 
-  /** Hands out the jobs that may wait for endpoints, or did, and have changed since the last call. */
+  /** Visits the jobs that were added, changed or closed since the last call. */
   drainChanged(visit: (job: Job) => void): void {
     for (const job of this.#changed) visit(job)
     this.#changed.clear()
   }
 
-  #noteOpen(job: Job): void {
+  #updateIndexes(job: Job): void {
     this.#open.add(job)
     this.#changed.add(job)
     if (job.waiting.length > 0) this.#waiting.add(job)
@@ -185,7 +189,7 @@
   tick(now: number): void {
     const { keepVerdictMs } = this.core.timing
     for (const [id, { endedAt }] of this.#ended) {
-      if (now - endedAt < keepVerdictMs && this.#ended.size <= MAX_ENDED) return
+      if (now - endedAt < keepVerdictMs && this.#ended.size <= MAX_RETAINED_VERDICTS) return
       this.#ended.delete(id)
     }
   }
@@ -194,7 +198,7 @@
     return this.core.estimator.estimate(estimateSubject(route, declaredMs))
   }
 
-  #remember(now: number, id: string, verdict: JobVerdict, reason: string): void {
+  #retainVerdict(now: number, id: string, verdict: JobVerdict, reason: string): void {
     this.#ended.delete(id)
     this.#ended.set(id, { verdict, reason, endedAt: now })
   }
@@ -207,8 +211,8 @@
     else counters.jobs_unknown++
   }
 
-  #report(now: number, job: Job, verdict: JobVerdict, reason: string): void {
-    const { route, arrivedAt, firstStartAt, lastStartAt, objectiveAt, chainMs, tasks } = job
+  #logEnd(now: number, job: Job, verdict: JobVerdict, reason: string): void {
+    const { route, arrivedAt, firstStartAt, lastStartAt, objectiveAt, criticalPathMs, tasks } = job
     const ms = Math.round(now - arrivedAt)
     this.core.emit({ kind: DispatchActionKind.Measure, stage: Stage.Whole, route: route.name, ms })
     this.core.log('a job ended', {
@@ -221,7 +225,7 @@
       lastStartMs: lastStartAt === undefined ? undefined : Math.round(lastStartAt - arrivedAt),
       overdueMs: Math.round(now - objectiveAt),
       coreMs: Math.round(job.workMs),
-      estimateMs: Math.round(chainMs),
+      estimateMs: Math.round(criticalPathMs),
       tasks: tasks.length,
       unfinished: tasks.filter(({ state }) => state !== TaskState.Done).length,
       failures: tasks.reduce((sum: number, task: Task) => sum + task.failures, 0),
--- a/packages/dispatch/src/lib/jobs/JobLifecycle.ts
+++ b/packages/dispatch/src/lib/jobs/JobLifecycle.ts
@@ -20,10 +20,15 @@
 import { TaskState } from './Job'
 import type { Job, Task } from './Job'
 
-/** Attempts of a task where the route names none. */
+/** Attempts per task if the route does not set a number. */
 const DEFAULT_ATTEMPTS = 3
 
-/** What becomes of jobs: tasks that end, fail, take too long, and jobs that are given up. @internal */
+/**
+ * Drives jobs to their verdict: handles tasks that end, fail or overrun, and ends jobs that cannot
+ * be completed.
+ *
+ * @internal
+ */
 export class JobLifecycle implements RunListener {
   readonly jobs: JobBook
   readonly runs: RunTracker
@@ -31,13 +36,16 @@
   readonly crashes: CrashWatch
   readonly unlisted: UnlistedTasks
   readonly overruns: OverrunWatch
-  /** Tasks whose end as done was listed before this leader knew their job, and when. */
-  readonly #foreignDone = new Map<string, number>()
+  /**
+   * When tasks of earlier leaders were reported as done before their job was submitted to this
+   * leader, by task name, oldest first.
+   */
+  readonly #completedUnderEarlierLeaders = new Map<string, number>()
 
   constructor(
     private readonly core: DispatchCore,
     leases: LeaseLoop,
-    /** Called when a place has become free, or a task waits again. */
+    /** Called when a slot may have become free or a task may wait again. */
     private readonly onChange: () => void,
   ) {
     this.jobs = new JobBook(core)
@@ -45,7 +53,7 @@
     this.health = new RunHealth(core)
     this.crashes = new CrashWatch(core, (now, id) => {
       const job = this.jobs.get(id)
-      if (job !== undefined) this.judge(now, job)
+      if (job !== undefined) this.endIfCrashSuspect(now, job)
     })
     this.unlisted = new UnlistedTasks(core, this.crashes)
     this.overruns = new OverrunWatch(core, this.runs, this.health)
@@ -54,19 +62,19 @@
   tick(now: number): void {
     this.runs.tick(now)
     this.jobs.tick(now)
-    this.#giveUp(now)
-    for (const [name, at] of this.#foreignDone) {
+    this.#endHopelessJobs(now)
+    for (const [name, at] of this.#completedUnderEarlierLeaders) {
       if (now - at < this.core.timing.keepVerdictMs) break
-      this.#foreignDone.delete(name)
+      this.#completedUnderEarlierLeaders.delete(name)
     }
   }
 
-  /** Another instance leads: everything that is known of jobs and runs goes. */
+  /** Discards all jobs and runs after the loss of leadership. */
   clear(): void {
     this.jobs.dropAll(JobVerdict.LEADER_LOST, 'the leader stepped down')
     this.runs.clear()
     this.unlisted.clear()
-    this.#foreignDone.clear()
+    this.#completedUnderEarlierLeaders.clear()
   }
 
   onEndpointLost(now: number, endpoint: EndpointRecord): void {
@@ -77,15 +85,18 @@
     this.crashes.onIdleEndpointLost(now, endpoint)
   }
 
-  /** Ends a job when one of its tasks takes down the endpoints that start it, or may do so. */
-  judge(now: number, job: Job): void {
+  /**
+   * Ends the job if one of its tasks crashes the endpoints that run it (`FAILED`), or is suspected
+   * to (`UNKNOWN`).
+   */
+  endIfCrashSuspect(now: number, job: Job): void {
     if (job.isClosed) return
     const judgement = this.crashes.judge(job)
     if (judgement === undefined) return
     const { standing, task } = judgement
     const { counters, losses } = this.core
     const endpoints = losses.endpointsOf(task.name)
-    this.core.log('a task may take endpoints down', {
+    this.core.log('task is suspected of crashing endpoints', {
       job: job.id,
       task: task.name,
       standing,
@@ -112,30 +123,33 @@
 
   onForeignDone(now: number, name: string): void {
     const task = this.#findTask(name)
-    if (task === undefined) this.#foreignDone.set(name, now)
+    if (task === undefined) this.#completedUnderEarlierLeaders.set(name, now)
     else if (task.run === undefined && task.state !== TaskState.Done) this.#onTaskDone(now, task)
   }
 
   onForeignRun(now: number, run: Run): void {
     const task = this.#findTask(run.name)
     if (task?.run !== undefined || task?.state === TaskState.Done) return
-    if (task !== undefined) this.#recall(now, task.job, task)
+    if (task !== undefined) this.#restore(now, task.job, task)
   }
 
-  /** A job that is new here goes on where an earlier leader left it. */
+  /** Continues a job that is new to this leader from the state that an earlier leader left. */
   resume(now: number, job: Job): void {
-    for (const task of job.tasks) this.#recall(now, job, task)
+    for (const task of job.tasks) this.#restore(now, job, task)
     job.unblock()
     if (job.isDone) this.jobs.close(now, job, JobVerdict.COMPLETED, { reason: 'done before' })
     else this.unlisted.onJob(now, job)
   }
 
-  /** What an earlier leader had, and no endpoint lists, may have run where an endpoint is gone. */
+  /**
+   * Looks for tasks of earlier leaders that no endpoint lists: they may have run on an endpoint
+   * that is gone.
+   */
   lookForUnlisted(now: number): void {
     this.unlisted.look(now, this.jobs.open)
   }
 
-  /** Gives the verdict and stops what still runs. */
+  /** Closes a job with a verdict and stops its runs. */
   end(now: number, job: Job, verdict: JobVerdict, reason: string, retryAfterMs = 0): void {
     const running = job.tasks.flatMap(({ run }) => run ?? [])
     this.jobs.close(now, job, verdict, { reason, retryAfterMs })
@@ -143,7 +157,7 @@
     this.onChange()
   }
 
-  /** It would get its places too late: its caller hears so at once. */
+  /** Refuses a job that would get its slots too late, so that its caller need not wait. */
   refuseAtDoor(now: number, { job, lateByMs }: RefusedJob): void {
     this.core.counters.refused_at_door++
     const reason = 'no place becomes free in time'
@@ -154,16 +168,16 @@
     return this.jobs.get(jobIdOf(name))?.tasks.find((task) => task.name === name)
   }
 
-  /** What an earlier leader started, or saw done, needs not begin anew. */
-  #recall(now: number, job: Job, task: Task): void {
+  /** Restores the state of a task that an earlier leader started or that is already done. */
+  #restore(now: number, job: Job, task: Task): void {
     if (this.runs.adopt(now, task)) job.hasStarted = true
-    else if (this.#foreignDone.delete(task.name)) job.move(task, TaskState.Done)
+    else if (this.#completedUnderEarlierLeaders.delete(task.name)) job.move(task, TaskState.Done)
   }
 
   #onTaskDone(now: number, task: Task): void {
     const { job } = task
     job.move(task, TaskState.Done)
-    if (job.isClosed) this.jobs.removeIfOver(job)
+    if (job.isClosed) this.jobs.removeIfFinished(job)
     else if (job.isDone) this.jobs.close(now, job, JobVerdict.COMPLETED, { reason: 'all done' })
     else job.unblock()
   }
@@ -176,17 +190,17 @@
     const avoids = this.core.uses(Mechanism.Avoidance)
     if (end !== RunEnd.NotRun && avoids) task.avoid.add(endpoint.id)
     if (job.isClosed) {
-      this.jobs.removeIfOver(job)
+      this.jobs.removeIfFinished(job)
       return
     }
-    if (end === RunEnd.Lost) this.judge(now, job)
+    if (end === RunEnd.Lost) this.endIfCrashSuspect(now, job)
     const attempts = job.route.maxAttempts === 0 ? DEFAULT_ATTEMPTS : job.route.maxAttempts
     if (task.failures >= attempts) {
       this.end(now, job, JobVerdict.FAILED, `task ${task.name} failed ${task.failures} times`)
     }
   }
 
-  #giveUp(now: number): void {
+  #endHopelessJobs(now: number): void {
     for (const { job, verdict, reason, retryAfterMs } of findHopeless(now, this.jobs.open)) {
       this.end(now, job, verdict, reason, retryAfterMs)
     }
--- a/packages/dispatch/src/lib/jobs/RequestHandler.ts
+++ b/packages/dispatch/src/lib/jobs/RequestHandler.ts
@@ -8,21 +8,21 @@
 import type { JobWaiter } from './Job'
 import type { JobLifecycle } from './JobLifecycle'
 
-/** When callers may come back while no routing is known, in milliseconds. */
+/** Retry delay sent to callers while no routing is known, in milliseconds. */
 const NO_ROUTING_RETRY_MS = 1_000
-/** What a leader that is behind needs to catch up, in milliseconds: its limit adapts in less. */
-const BUSY_BACKLOG_MS = 1_000
+/** Time for an overloaded leader to catch up, in milliseconds; its intake limit adapts in less. */
+const OVERLOAD_RECOVERY_MS = 1_000
 
-/** A question that is answered once a majority has followed this leader after it came. */
-interface Unconfirmed {
-  readonly askedAt: number
+/** A request to be answered once a majority has confirmed this leader after the request came. */
+interface UnconfirmedRequest {
+  readonly receivedAt: number
   readonly waiter: JobWaiter
-  readonly askAgain: () => void
+  readonly retry: () => void
 }
 
-/** Takes the requests of callers, which other instances bring here. @internal */
+/** Handles the requests of callers that other instances relay to the leader. @internal */
 export class RequestHandler {
-  #unconfirmed: Unconfirmed[] = []
+  #unconfirmed: UnconfirmedRequest[] = []
   #isConfirming = false
 
   constructor(
@@ -34,7 +34,7 @@
   submit(now: number, from: string, req: SubmitJob): void {
     const waiter = { instance: from, requestId: req.requestId }
     const { spec, host, path } = req
-    if (!this.#leads(waiter) || this.#isTooBusy(waiter, req)) return
+    if (!this.#requireLeadership(waiter) || this.#refuseIfOverloaded(waiter, req)) return
     const found = findRoute(this.core.table, host, path)
     if (found === undefined || spec === undefined) {
       this.#answerNoRoute(now, waiter, () => {
@@ -43,21 +43,21 @@
       return
     }
     const { jobs } = this.lifecycle
-    const ended = jobs.ended(spec.jobId)
+    const ended = jobs.endedJob(spec.jobId)
     if (ended !== undefined && isFinal(ended.verdict, req)) {
       this.core.answer(waiter, ended.verdict, { reason: ended.reason })
       return
     }
     const isNew = jobs.get(spec.jobId) === undefined
-    const job = jobs.take(now, spec, found.route, req)
-    jobs.wait(job, waiter)
+    const job = jobs.accept(now, spec, found.route, req)
+    jobs.addWaiter(job, waiter)
     if (isNew) this.lifecycle.resume(now, job)
-    this.lifecycle.judge(now, job)
+    this.lifecycle.endIfCrashSuspect(now, job)
   }
 
   ask(now: number, from: string, req: AskJob): void {
     const waiter = { instance: from, requestId: req.requestId }
-    if (!this.#leads(waiter)) return
+    if (!this.#requireLeadership(waiter)) return
     const found = findRoute(this.core.table, req.host, req.path)
     if (found === undefined) {
       this.#answerNoRoute(now, waiter, () => {
@@ -67,7 +67,7 @@
     }
     switch (req.kind) {
       case JobQuestionKind.PENDING: {
-        const pending = this.lifecycle.jobs.pendingOf(found.route)
+        const pending = this.lifecycle.jobs.countPending(found.route)
         this.core.answer(waiter, JobVerdict.COUNTED, { pending })
         return
       }
@@ -84,45 +84,46 @@
   }
 
   abandon(now: number, from: string, { requestId }: AbandonJob): void {
-    const job = this.lifecycle.jobs.leave(from, requestId)
+    const job = this.lifecycle.jobs.removeWaiter(from, requestId)
     if (job !== undefined) this.lifecycle.end(now, job, JobVerdict.CANCELLED, 'its caller is gone')
   }
 
-  /** A majority followed this leader at the given time. */
+  /** A majority of the voters followed this leader at the given time. */
   onConfirmed(at: number): void {
-    const isConfirmed = ({ askedAt }: Unconfirmed): boolean => askedAt <= at
+    const isConfirmed = ({ receivedAt }: UnconfirmedRequest): boolean => receivedAt <= at
     const confirmed = this.#unconfirmed.filter(isConfirmed)
     if (confirmed.length === 0) return
-    this.#unconfirmed = this.#unconfirmed.filter((question) => !isConfirmed(question))
+    this.#unconfirmed = this.#unconfirmed.filter((request) => !isConfirmed(request))
     this.#isConfirming = true
-    for (const { askAgain } of confirmed) askAgain()
+    for (const { retry } of confirmed) retry()
     this.#isConfirming = false
   }
 
-  /** Another instance leads. */
+  /** Answers the unconfirmed requests after the loss of leadership. */
   clear(): void {
     for (const { waiter } of this.#unconfirmed) this.core.answer(waiter, JobVerdict.NOT_LEADER)
     this.#unconfirmed = []
   }
 
   /**
-   * Refuses a new job at once while this instance has no time for it. One that an earlier leader
-   * had may have run, and so is always taken in.
+   * Refuses a new job while this instance is overloaded; returns true if it did. A job that an
+   * earlier leader had may have run, so it is never refused here.
    */
-  #isTooBusy(waiter: JobWaiter, { spec, earlierAttempts }: SubmitJob): boolean {
+  #refuseIfOverloaded(waiter: JobWaiter, { spec, earlierAttempts }: SubmitJob): boolean {
     if (!this.core.uses(Mechanism.IntakeLimit)) return false
     const jobId = spec?.jobId ?? ''
     if (earlierAttempts > 0 || this.lifecycle.jobs.get(jobId) !== undefined) return false
-    if (this.lifecycle.jobs.ended(jobId) !== undefined || this.intake.admit()) return false
+    if (this.lifecycle.jobs.endedJob(jobId) !== undefined || this.intake.admit()) return false
     this.core.counters.refused_busy++
-    const retryAfterMs = retryAfter(jobId, BUSY_BACKLOG_MS)
+    const retryAfterMs = retryAfter(jobId, OVERLOAD_RECOVERY_MS)
     const reason = 'the leader is behind with its work'
-    this.core.log('a job is refused unseen, since this instance is behind', { job: jobId })
+    this.core.log('job refused without processing: this instance is overloaded', { job: jobId })
     this.core.answer(waiter, JobVerdict.REFUSED, { reason, retryAfterMs })
     return true
   }
 
-  #leads(waiter: JobWaiter): boolean {
+  /** Answers the request with `NOT_LEADER` and returns false unless this instance leads. */
+  #requireLeadership(waiter: JobWaiter): boolean {
     if (this.core.term !== undefined) return true
     this.core.answer(waiter, JobVerdict.NOT_LEADER)
     return false
@@ -131,14 +132,14 @@
   #stateOf(id: string): JobVerdict {
     const { jobs } = this.lifecycle
     const job = jobs.get(id)
-    if (job === undefined || job.isClosed) return jobs.ended(id)?.verdict ?? JobVerdict.NO_JOB
+    if (job === undefined || job.isClosed) return jobs.endedJob(id)?.verdict ?? JobVerdict.NO_JOB
     return job.hasStarted ? JobVerdict.RUNNING : JobVerdict.QUEUED
   }
 
   #cancel(now: number, id: string, waiter: JobWaiter): void {
     const job = this.lifecycle.jobs.get(id)
     if (job === undefined) {
-      this.lifecycle.jobs.noteCancelled(now, id)
+      this.lifecycle.jobs.recordCancelled(now, id)
       this.core.answer(waiter, JobVerdict.NO_JOB)
       return
     }
@@ -147,10 +148,10 @@
   }
 
   /**
-   * Says that there is no route, once a majority has followed this leader after the question came:
-   * before that a newer leader may know a newer routing, which has it.
+   * Answers that no route matches, once a majority has confirmed this leader after the request
+   * came. Until then a newer leader may exist, whose newer routing table has a route.
    */
-  #answerNoRoute(askedAt: number, waiter: JobWaiter, askAgain: () => void): void {
+  #answerNoRoute(receivedAt: number, waiter: JobWaiter, retry: () => void): void {
     const { table } = this.core
     if (table === undefined) {
       const reason = 'no routing is known yet'
@@ -159,17 +160,17 @@
     }
     if (this.#isConfirming) {
       const { version } = table
-      this.core.log('a request has no route', { ...waiter, version })
+      this.core.log('no route matches the request', { ...waiter, version })
       this.core.answer(waiter, JobVerdict.NO_ROUTE, { reason: `no route in version ${version}` })
       return
     }
-    this.#unconfirmed.push({ askedAt, waiter, askAgain })
+    this.#unconfirmed.push({ receivedAt, waiter, retry })
   }
 }
 
-/** Whether a job that has ended so is not begun again by a request for it. */
+/** Whether a request for a job with this verdict is answered without running the job again. */
 function isFinal(verdict: JobVerdict, { earlierAttempts }: SubmitJob): boolean {
   if (verdict === JobVerdict.COMPLETED || verdict === JobVerdict.FAILED) return true
-  // The request is older than the cancellation: an earlier leader had it.
+  // An earlier leader had the request, so it is older than the cancellation.
   return verdict === JobVerdict.CANCELLED && earlierAttempts > 0
 }
--- a/packages/dispatch/src/lib/jobs/busyLeader.test.ts
+++ b/packages/dispatch/src/lib/jobs/busyLeader.test.ts
@@ -8,7 +8,7 @@
 
 const ENDPOINTS = 100
 
-/** A leader on a slower processor. */
+/** Costs of a leader whose processor is slower by a factor. */
 function slower(factor: number): LeaderCosts {
   const { event, action, rankedJob, visitedEndpoint, forecastPlace } = defaultLeaderCosts
   return {
@@ -20,11 +20,11 @@
   }
 }
 
-/** The leader carries some 0.4 of what the endpoints can do. */
+/** At these costs the leader can dispatch about 0.4 of the capacity of the endpoints. */
 const SLOW = slower(8)
 
-describe('a leader that is asked for more than its processor can do', () => {
-  it('serves what it has time for, and refuses the rest at once', () => {
+describe('a leader whose processor is overloaded', () => {
+  it('serves as many jobs as it has time for, and refuses the rest immediately', () => {
     const { inTime, refusedLate, unserved, counted, violations } = playLoad({
       load: 0.8,
       endpoints: ENDPOINTS,
@@ -34,11 +34,11 @@
     assert.ok(inTime > 0.38, `${inTime} in time`)
     assert.ok(refusedLate + unserved < 0.08, `${refusedLate + unserved} refused late or unserved`)
     assert.ok(counted.refused_busy > 0)
-    assert.equal(counted.runs_lost, 0, 'leases that lapsed for want of time')
+    assert.equal(counted.runs_lost, 0, 'leases that expired because they were renewed late')
     assert.deepEqual(violations, [])
   })
 
-  it('would serve next to nobody in time if it took all jobs in', () => {
+  it('serves almost no job in time without the intake limit', () => {
     const { inTime, violations } = playLoad({
       load: 0.8,
       endpoints: ENDPOINTS,
@@ -50,7 +50,7 @@
     assert.deepEqual(violations, [])
   })
 
-  it('serves as ever a second after 2.5 times of what it can do', () => {
+  it('recovers within a second from 2.5 times the load that it can process', () => {
     const { inTime, violations } = playLoad({
       load: 1,
       endpoints: ENDPOINTS,
@@ -62,7 +62,7 @@
     assert.deepEqual(violations, [])
   })
 
-  it('takes all jobs in while it keeps up', () => {
+  it('admits all jobs while it keeps up', () => {
     const { counted } = playLoad({
       load: 1.3,
       endpoints: ENDPOINTS,
@@ -73,29 +73,30 @@
   })
 })
 
-describe('the limit of what is taken in', () => {
-  const takeMany = (limit: IntakeLimit, jobs: number): number => {
-    return Array.from({ length: jobs }, () => limit.admit()).filter((taken) => taken).length
+describe('the intake limit', () => {
+  const admitMany = (limit: IntakeLimit, jobs: number): number => {
+    return Array.from({ length: jobs }, () => limit.admit()).filter((isAdmitted) => isAdmitted)
+      .length
   }
 
-  it('does not bind after a single pause', () => {
+  it('stays off after a single pause', () => {
     const limit = new IntakeLimit()
     for (let step = 0; step < 20; step++) {
-      takeMany(limit, 4)
+      admitMany(limit, 4)
       limit.noteStep(step === 10 ? 5_000 : 3)
       assert.equal(limit.isBinding, false)
     }
   })
 
-  it('falls while the instance is behind, and rises once it is not', () => {
+  it('falls while steps are delayed, and is lifted once they are not', () => {
     const limit = new IntakeLimit()
     for (let step = 0; step < 60; step++) {
-      takeMany(limit, 20)
+      admitMany(limit, 20)
       limit.noteStep(80)
     }
-    assert.ok(takeMany(limit, 20) < 5)
+    assert.ok(admitMany(limit, 20) < 5)
     for (let step = 0; step < 300; step++) limit.noteStep(3)
     assert.equal(limit.isBinding, false)
-    assert.equal(takeMany(limit, 20), 20)
+    assert.equal(admitMany(limit, 20), 20)
   })
 })
--- a/packages/dispatch/src/lib/jobs/findRoute.ts
+++ b/packages/dispatch/src/lib/jobs/findRoute.ts
@@ -1,12 +1,12 @@
 import type { Route, RoutingTable } from '@cherryhitch/protocol'
 
-/** A route and what follows its prefix in the path. @internal */
+/** A route, and the part of the path after its prefix. @internal */
 export interface FoundRoute {
   readonly route: Route
   readonly rest: string
 }
 
-/** The route with the longest prefix of the path, among those of the host. @internal */
+/** Finds the route of the host with the longest matching path prefix. @internal */
 export function findRoute(
   table: RoutingTable | undefined,
   host: string,
--- a/packages/dispatch/src/lib/jobs/jobIdOf.ts
+++ b/packages/dispatch/src/lib/jobs/jobIdOf.ts
@@ -1,4 +1,4 @@
-/** Id of the job that a task is of, from the task's name. @internal */
+/** Extracts the job id from the name of a task. @internal */
 export function jobIdOf(task: string): string {
   return task.slice(0, task.indexOf('.'))
 }
--- a/packages/dispatch/src/lib/orders/AnswerHandler.ts
+++ b/packages/dispatch/src/lib/orders/AnswerHandler.ts
@@ -9,26 +9,26 @@
 import type { JobLifecycle } from '../jobs/JobLifecycle'
 import type { Run } from '../runs/Run'
 
-/** What an endpoint lists, and the hold that asked for it. */
-interface Reported {
+/** An endpoint's answer to a hold order: the list of its runs. */
+interface HoldAnswer {
   readonly order: EndpointOrder
   readonly sentAt: number
   readonly report: HoldReport
 }
 
-/** Takes in what endpoints answer to orders of this leader. @internal */
+/** Handles the answers of endpoints to orders of this leader. @internal */
 export class AnswerHandler {
   constructor(
     private readonly core: DispatchCore,
     private readonly leases: LeaseLoop,
     private readonly lifecycle: JobLifecycle,
-    /** Called when an endpoint may get tasks from now on. */
+    /** Called when an endpoint has been adopted, so that it may get tasks. */
     private readonly onAdopted: () => void,
   ) {}
 
   handle(now: number, { order, sentAt, answer }: OrderAnswered): void {
     const endpoint = this.core.endpoints.get(order.endpoint)
-    // Answers to orders of an earlier leadership of this instance count no more.
+    // Ignore answers to orders that this instance gave as the leader of an earlier term.
     if (endpoint === undefined || termOfToken(order.fencingToken) !== this.core.term) return
     switch (answer.case) {
       case 'report':
@@ -48,7 +48,7 @@
     }
   }
 
-  #onReport(now: number, endpoint: EndpointRecord, { order, sentAt, report }: Reported): void {
+  #onReport(now: number, endpoint: EndpointRecord, { order, sentAt, report }: HoldAnswer): void {
     const { isAdopted: wasAdopted, acknowledgedEnd, look } = endpoint
     this.leases.noteAnswer(now, endpoint, order.id, report.clockMs)
     endpoint.noteAlive(sentAt)
@@ -67,7 +67,7 @@
   }
 }
 
-/** The run that an order to start or to stop named, while it is known. */
+/** Finds the run that a start or stop order names, if it is still tracked. */
 function findRun({ runs }: EndpointRecord, { order }: EndpointOrder): Run | undefined {
   if (order.case !== 'start' && order.case !== 'stop') return undefined
   const { task, run: number } = order.value
--- a/packages/dispatch/src/lib/orders/ExtraDelay.ts
+++ b/packages/dispatch/src/lib/orders/ExtraDelay.ts
@@ -1,32 +1,38 @@
-/** Clocks drift apart: the shortest way is looked for among the messages of so long, or twice that. */
+/**
+ * Length of a window, in milliseconds. The minimum covers the present window and the one before, so
+ * that the drift between the two clocks does not accumulate.
+ */
 const WINDOW_MS = 30_000
 
 /**
- * How much longer than the quickest of late messages took, by the clocks of sender and receiver, which have
- * nothing in common but their pace. What one process has sent is told from what an earlier one has.
+ * Measures by how much a message was slower than the fastest recent one from the same sender. The
+ * clocks of sender and receiver need the same rate, but no common origin.
+ *
+ * One object serves one process of the sender, since another process has another clock origin.
  *
  * @internal
  */
 export class ExtraDelay {
-  /** Least difference between the two clocks in the present window, and in the one before. */
-  #least = Infinity
-  #leastBefore = Infinity
+  /** Minimum difference between receive time and send time in the present window. */
+  #minDifference = Infinity
+  /** The same in the window before. */
+  #previousMinDifference = Infinity
   #windowEndsAt = -Infinity
 
   /**
-   * Takes a message in.
+   * Records a message that is received now.
    *
    * @param sentMs - the sender's clock when it sent the message, in milliseconds
-   * @returns by how much its way was longer, in milliseconds
+   * @returns delay beyond that of the fastest recent message, in milliseconds
    */
-  note(now: number, sentMs: number): number {
+  record(now: number, sentMs: number): number {
     if (now >= this.#windowEndsAt) {
-      this.#leastBefore = this.#least
-      this.#least = Infinity
+      this.#previousMinDifference = this.#minDifference
+      this.#minDifference = Infinity
       this.#windowEndsAt = now + WINDOW_MS
     }
     const difference = now - sentMs
-    this.#least = Math.min(this.#least, difference)
-    return difference - Math.min(this.#least, this.#leastBefore)
+    this.#minDifference = Math.min(this.#minDifference, difference)
+    return difference - Math.min(this.#minDifference, this.#previousMinDifference)
   }
 }
--- a/packages/dispatch/src/lib/orders/OrderProxy.test.ts
+++ b/packages/dispatch/src/lib/orders/OrderProxy.test.ts
@@ -9,7 +9,7 @@
 
 const BOOT = 7
 
-/** Endpoints that confirm every stop at once. */
+/** A gateway to endpoints that confirm every stop immediately. */
 class ConfirmingGateway extends EndpointGateway {
   readonly called: string[] = []
 
@@ -24,7 +24,7 @@
   return create(EndpointOrderSchema, { id, endpoint, order: { case: 'stop', value } })
 }
 
-/** A proxy, what it sent (receiver and numbers of the orders), and what it put off. */
+/** Creates a proxy and records its messages (receiver and order numbers) and deferred calls. */
 function open() {
   const gateway = new ConfirmingGateway()
   const sent: { to: string; ids: number[] }[] = []
@@ -54,8 +54,8 @@
   return { gateway, sent, boots, give, runDeferred, waits, clock }
 }
 
-describe('an instance that carries orders', () => {
-  it('carries out each, and sends the answers that came together in one message', () => {
+describe('an order proxy', () => {
+  it('carries out each order, and batches the answers into one message', () => {
     const { gateway, sent, give, runDeferred } = open()
     give('leader', BOOT, [stop(1, 'e1'), stop(2, 'e2')])
     give('leader', BOOT, [stop(3, 'e1')])
@@ -65,7 +65,7 @@
     assert.deepEqual(sent, [{ to: 'leader', ids: [1, 2, 3] }])
   })
 
-  it('answers whoever ordered, also when an old leader and a new one do so at the same time', () => {
+  it('answers the sender of each order, even with an old and a new leader at the same time', () => {
     const { sent, give, runDeferred } = open()
     give('old', BOOT, [stop(1, 'e1')])
     give('new', BOOT, [stop(1, 'e1')])
@@ -76,7 +76,7 @@
     ])
   })
 
-  it('tells the orders of a leader that started again from those of its earlier process', () => {
+  it('distinguishes the orders of a restarted leader from those of its earlier process', () => {
     const { sent, boots, give, runDeferred } = open()
     give('leader', BOOT, [stop(1, 'e1')])
     give('leader', BOOT + 1, [stop(1, 'e2')])
@@ -85,7 +85,7 @@
     assert.equal(sent.length, 2)
   })
 
-  it('begins a new message after one has gone', () => {
+  it('starts a new batch after one was sent', () => {
     const { sent, give, runDeferred } = open()
     give('leader', BOOT, [stop(1, 'e1')])
     runDeferred()
@@ -97,7 +97,7 @@
     ])
   })
 
-  it('sends the first answer after a pause at once, and gathers what follows closely', () => {
+  it('sends the first answer after a pause immediately, and batches the next ones', () => {
     const { sent, give, runDeferred, waits, clock } = open()
     give('leader', BOOT, [stop(1, 'e1')])
     runDeferred()
@@ -115,7 +115,7 @@
     )
   })
 
-  it('does not carry out orders that come long after they were sent', () => {
+  it('does not carry out orders that arrive late', () => {
     const { gateway, sent, give, runDeferred, clock } = open()
     clock.now = 5_000
     give('leader', BOOT, [stop(1, 'e1')])
@@ -127,7 +127,7 @@
     assert.deepEqual(sent, [{ to: 'leader', ids: [1, 2, 3] }])
   })
 
-  it('carries out the orders of each process by its own clock', () => {
+  it('measures the delay of orders separately for each process of the leader', () => {
     const { gateway, give, clock } = open()
     clock.now = 5_000
     give('leader', BOOT, [stop(1, 'e1')], 4_900)
--- a/packages/dispatch/src/lib/orders/OrderProxy.ts
+++ b/packages/dispatch/src/lib/orders/OrderProxy.ts
@@ -10,25 +10,28 @@
   readonly gateway: EndpointGateway
   readonly send: (to: string, message: Envelope) => void
   readonly now: () => number
-  /** Runs something after so many milliseconds; after 0, once all that has arrived is read. */
+  /**
+   * Runs a callback after a delay in milliseconds. With a delay of 0 it runs once all messages that
+   * have arrived are read.
+   */
   readonly after: (ms: number, run: () => void) => void
 }
 
 /**
- * Answers for one leader that come within this travel together, in milliseconds: each frame passes
- * several layers of streams at both ends.
+ * Answers to one leader within this window go into one message, in milliseconds. Each frame passes
+ * through several stream layers at both ends, so fewer frames save processor time.
  */
-const GATHER_MS = 6
+const BATCH_WINDOW_MS = 6
 
 /**
- * Orders that come so much later than others are not carried out, in milliseconds: starts are void by then, and
- * the leader has given the others up. The endpoint that they are for may have started again meanwhile,
- * and its clock, which would tell, has begun anew.
+ * Orders with a higher extra delay are not carried out, in milliseconds. Start orders have expired
+ * by then, and the leader has given up the others. The endpoint can't be relied on to reject them:
+ * it may have restarted in the meantime, which resets the clock that it checks expiry with.
  */
-const MOST_DELAY_MS = 300
+const MAX_ORDER_DELAY_MS = 300
 
-/** Answers on their way to one leader. */
-interface Collected {
+/** State kept for one process of a leader. */
+interface LeaderState {
   /** Boot of the process that gave the orders. */
   readonly boot: number
   readonly delay: ExtraDelay
@@ -37,63 +40,63 @@
 }
 
 /**
- * Calls endpoints for the leader. It decides nothing: every order that comes in time is carried out,
- * and answers that come together go back in one message.
+ * Calls endpoints on behalf of the leader. It makes no decisions: it carries out every order that
+ * is not late, and batches the answers.
  *
  * @public
  */
 export class OrderProxy {
-  /** By leader; there are as many as instances that may lead. */
-  readonly #collected = new Map<string, Collected>()
+  /** By instance name of the leader, so no more entries than instances that may lead. */
+  readonly #leaders = new Map<string, LeaderState>()
 
   constructor(private readonly options: OrderProxyOptions) {}
 
   /**
-   * Carries orders out.
+   * Carries out the orders of a message.
    *
-   * @param boot - that of the leader's process that gave them; their numbers are unique within it
+   * @param boot - boot of the leader's process; order numbers are unique within it
    */
   onOrders(from: string, boot: number, { orders, sentMs }: EndpointOrders): void {
-    const collected = this.#collectedFor(from, boot)
-    const isLate = collected.delay.note(this.options.now(), sentMs) > MOST_DELAY_MS
+    const state = this.#stateOf(from, boot)
+    const isLate = state.delay.record(this.options.now(), sentMs) > MAX_ORDER_DELAY_MS
     for (const order of orders) {
-      const answer = (told: OrderAnswer): void => {
-        this.#collect(from, collected, makeEndpointAnswer(order.id, told))
+      const done = (answer: OrderAnswer): void => {
+        this.#enqueueAnswer(from, state, makeEndpointAnswer(order.id, answer))
       }
-      if (isLate) answer(notCarriedOut(order))
-      else this.options.gateway.call(order, answer)
+      if (isLate) done(lateOrderAnswer(order))
+      else this.options.gateway.call(order, done)
     }
   }
 
-  #collect(to: string, collected: Collected, answer: EndpointAnswer): void {
+  #enqueueAnswer(to: string, state: LeaderState, answer: EndpointAnswer): void {
     const { now, after } = this.options
-    collected.answers.push(answer)
-    const waitMs = collected.pace.note(now())
+    state.answers.push(answer)
+    const waitMs = state.pace.note(now())
     if (waitMs === undefined) return
     after(waitMs, () => {
-      collected.pace.noteSent(now())
-      this.#send(to, collected)
+      state.pace.noteSent(now())
+      this.#send(to, state)
     })
   }
 
-  #collectedFor(to: string, boot: number): Collected {
-    const known = this.#collected.get(to)
+  #stateOf(to: string, boot: number): LeaderState {
+    const known = this.#leaders.get(to)
     if (known?.boot === boot) return known
-    const pace = new GatherPace(GATHER_MS)
-    const collected = { boot, delay: new ExtraDelay(), pace, answers: [] }
-    this.#collected.set(to, collected)
-    return collected
+    const pace = new GatherPace(BATCH_WINDOW_MS)
+    const state = { boot, delay: new ExtraDelay(), pace, answers: [] }
+    this.#leaders.set(to, state)
+    return state
   }
 
-  #send(to: string, collected: Collected): void {
-    const { answers, boot: forBoot } = collected
-    collected.answers = []
+  #send(to: string, state: LeaderState): void {
+    const { answers, boot: forBoot } = state
+    state.answers = []
     const value = { $typeName: 'cherryhitch.v1.EndpointAnswers' as const, answers, forBoot }
     this.options.send(to, wrapMessage({ case: 'endpointAnswers', value }))
   }
 }
 
-function notCarriedOut(order: EndpointOrder): OrderAnswer {
+function lateOrderAnswer(order: EndpointOrder): OrderAnswer {
   if (order.order.case === 'start') return { case: 'started', value: StartResult.NOT_SENT }
   return noAnswer(order, 'it came too late')
 }
--- a/packages/dispatch/src/lib/orders/OrderRouter.test.ts
+++ b/packages/dispatch/src/lib/orders/OrderRouter.test.ts
@@ -10,13 +10,17 @@
 const BOOT = 7
 const TICK_MS = 10
 const TIMEOUT_MS = 80
-const WAY_MS = 60
-const DISTRUST_MS = 1_000
+const PROXY_ALLOWANCE_MS = 60
+const SUSPENSION_MS = 1_000
 
-/** A leader with some endpoints, and the instances that may bring its orders there. */
+/** The router of a leader, with a clock and helpers to give orders and answers. */
 class Leader {
   now = 0
-  private readonly router = new OrderRouter({ boot: BOOT, directEndpoints: 4, wayMs: WAY_MS })
+  private readonly router = new OrderRouter({
+    boot: BOOT,
+    directEndpoints: 4,
+    proxyAllowanceMs: PROXY_ALLOWANCE_MS,
+  })
   private orders = 0
 
   proxies(endpoints: number, ...names: readonly string[]): void {
@@ -24,7 +28,7 @@
     this.router.step(this.now, { kind: RouterEventKind.Proxies, proxies, endpoints })
   }
 
-  /** Orders a start; gives the number of the order. */
+  /** Gives a start order; returns its number. */
   start(endpoint: string, zone = ''): number {
     const id = ++this.orders
     const value = { task: `t${id}`, run: 1, payload: '', orderEndsAt: 900 }
@@ -45,7 +49,7 @@
     return this.router.step(this.now, { kind: RouterEventKind.Answers, from, forBoot, answers })
   }
 
-  /** Lets time pass, tick by tick. */
+  /** Advances the clock with regular ticks. */
   tick(passedMs = 0): readonly RouterAction[] {
     const actions: RouterAction[] = []
     const end = this.now + passedMs
@@ -53,14 +57,14 @@
     return [...actions, ...this.router.tick(this.now)]
   }
 
-  /** Time passes in which this leader does nothing. */
+  /** Advances the clock without ticks, as if the leader were stalled. */
   stall(ms: number): readonly RouterAction[] {
     this.now += ms
     return this.router.tick(this.now)
   }
 }
 
-/** Which instance calls each endpoint by these actions; the leader itself is `self`. */
+/** The instance that calls each endpoint; `self` stands for the leader. */
 function callersOf(actions: readonly RouterAction[]): Record<string, string> {
   const callers: Record<string, string> = {}
   for (const action of actions) {
@@ -71,8 +75,8 @@
   return callers
 }
 
-/** Results of starts that the dispatcher is told. */
-function toldStarts(actions: readonly RouterAction[]): readonly StartResult[] {
+/** Start results that are delivered to the dispatcher. */
+function startResults(actions: readonly RouterAction[]): readonly StartResult[] {
   return actions.flatMap((action) => {
     if (action.kind !== RouterActionKind.Tell) return []
     const { answer } = action.event
@@ -80,22 +84,22 @@
   })
 }
 
-describe('the ways of orders to endpoints', () => {
-  it('are calls of the leader while there are few endpoints', () => {
+describe('the routes of orders to endpoints', () => {
+  it('are direct calls of the leader while there are few endpoints', () => {
     const leader = new Leader()
     leader.proxies(4, 'a', 'b')
     leader.start('e1')
     assert.deepEqual(callersOf(leader.tick()), { e1: 'self' })
   })
 
-  it('are calls of the leader while no other instance is there', () => {
+  it('are direct calls of the leader while there is no other instance', () => {
     const leader = new Leader()
     leader.proxies(100)
     leader.start('e1')
     assert.deepEqual(callersOf(leader.tick()), { e1: 'self' })
   })
 
-  it('lead over proxies evenly, and stay the same', () => {
+  it('are spread evenly over the proxies, and stay the same', () => {
     const leader = new Leader()
     leader.proxies(100, 'a', 'b')
     for (let i = 0; i < 10; i++) leader.start(`e${i}`)
@@ -106,7 +110,7 @@
     assert.deepEqual(callersOf(leader.tick()), callers)
   })
 
-  it('lead over a proxy of the same zone where there is one', () => {
+  it('use a proxy in the zone of the endpoint if there is one', () => {
     const leader = new Leader()
     leader.proxies(100, 'a', 'b')
     leader.start('e1', 'zone of b')
@@ -114,7 +118,7 @@
     assert.deepEqual(callersOf(leader.tick()), { e1: 'b', e2: 'a' })
   })
 
-  it('put the orders of one step for one proxy into one message', () => {
+  it('batch the orders of one step for one proxy into one message', () => {
     const leader = new Leader()
     leader.proxies(100, 'a')
     leader.start('e1')
@@ -124,25 +128,25 @@
 })
 
 describe('a proxy', () => {
-  it('answers no order by what it knows of one that an earlier process of the leader gave', () => {
+  it('has its answers to an earlier process of the leader ignored', () => {
     const leader = new Leader()
     leader.proxies(100, 'a')
     const id = leader.start('e1')
     leader.tick()
-    assert.deepEqual(toldStarts(leader.answer('a', id, BOOT - 1)), [])
-    assert.deepEqual(toldStarts(leader.answer('a', id)), [StartResult.RUNS])
+    assert.deepEqual(startResults(leader.answer('a', id, BOOT - 1)), [])
+    assert.deepEqual(startResults(leader.answer('a', id)), [StartResult.RUNS])
   })
 
-  it('brings back what came of an order, once', () => {
+  it('delivers the result of an order once', () => {
     const leader = new Leader()
     leader.proxies(100, 'a')
     const id = leader.start('e1')
     leader.tick()
-    assert.deepEqual(toldStarts(leader.answer('a', id)), [StartResult.RUNS])
-    assert.deepEqual(toldStarts(leader.answer('a', id)), [])
+    assert.deepEqual(startResults(leader.answer('a', id)), [StartResult.RUNS])
+    assert.deepEqual(startResults(leader.answer('a', id)), [])
   })
 
-  it('that falls silent loses all its endpoints to the others, with all orders in doubt', () => {
+  it('that stops answering loses its endpoints to others, and its orders end as unknown', () => {
     const leader = new Leader()
     leader.proxies(100, 'a', 'b')
     leader.start('e1', 'zone of a')
@@ -150,13 +154,13 @@
     leader.tick(50)
     leader.start('e1', 'zone of a')
     leader.tick()
-    const told = toldStarts(leader.tick(TIMEOUT_MS + WAY_MS - 50))
+    const told = startResults(leader.tick(TIMEOUT_MS + PROXY_ALLOWANCE_MS - 50))
     assert.deepEqual(told, [StartResult.UNKNOWN, StartResult.UNKNOWN])
     leader.start('e1', 'zone of a')
     assert.deepEqual(callersOf(leader.tick()), { e1: 'b' })
   })
 
-  it('that drops one order but answers others keeps its endpoints', () => {
+  it('that loses one order but answers others keeps its endpoints', () => {
     const leader = new Leader()
     leader.proxies(100, 'a', 'b')
     leader.start('e1', 'zone of a')
@@ -166,34 +170,36 @@
     leader.tick()
     leader.tick(10)
     leader.answer('a', later)
-    assert.deepEqual(toldStarts(leader.tick(TIMEOUT_MS + WAY_MS)), [StartResult.UNKNOWN])
+    assert.deepEqual(startResults(leader.tick(TIMEOUT_MS + PROXY_ALLOWANCE_MS)), [
+      StartResult.UNKNOWN,
+    ])
     leader.start('e1', 'zone of a')
     assert.deepEqual(callersOf(leader.tick()), { e1: 'a' })
   })
 
-  it('is not blamed for a standstill of the leader', () => {
+  it('is not suspended because of a stall of the leader', () => {
     const leader = new Leader()
     leader.proxies(100, 'a', 'b')
     const id = leader.start('e1', 'zone of a')
     leader.tick()
-    assert.deepEqual(toldStarts(leader.stall(TIMEOUT_MS + WAY_MS + 100)), [])
-    assert.deepEqual(toldStarts(leader.answer('a', id)), [StartResult.RUNS])
+    assert.deepEqual(startResults(leader.stall(TIMEOUT_MS + PROXY_ALLOWANCE_MS + 100)), [])
+    assert.deepEqual(startResults(leader.answer('a', id)), [StartResult.RUNS])
   })
 
-  it('is tried again after a while, and its late answers count no more', () => {
+  it('is used again after the suspension, and its late answers are ignored', () => {
     const leader = new Leader()
     leader.proxies(100, 'a', 'b')
     const id = leader.start('e1', 'zone of a')
     leader.tick()
-    leader.tick(TIMEOUT_MS + WAY_MS)
-    assert.deepEqual(toldStarts(leader.answer('a', id)), [])
-    leader.now += DISTRUST_MS
+    leader.tick(TIMEOUT_MS + PROXY_ALLOWANCE_MS)
+    assert.deepEqual(startResults(leader.answer('a', id)), [])
+    leader.now += SUSPENSION_MS
     leader.proxies(100, 'a', 'b')
     leader.start('e1', 'zone of a')
     assert.deepEqual(callersOf(leader.tick()), { e1: 'a' })
   })
 
-  it('that is gone loses its endpoints at once', () => {
+  it('that is gone loses its endpoints immediately', () => {
     const leader = new Leader()
     leader.proxies(100, 'a', 'b')
     leader.start('e1', 'zone of a')
--- a/packages/dispatch/src/lib/orders/OrderRouter.ts
+++ b/packages/dispatch/src/lib/orders/OrderRouter.ts
@@ -13,25 +13,29 @@
   /** Boot of this process. */
   readonly boot: number
   /**
-   * Up to this many endpoints the leader calls them itself, which saves a hop each way; the calls to
-   * more of them would leave it no time to decide.
+   * Maximum number of endpoints that the leader calls directly, which saves a hop each way. Calls
+   * to more endpoints would leave it too little time for scheduling.
    */
   readonly directEndpoints: number
   /**
-   * What the way to a proxy and back adds to the timeout of an order, in milliseconds: some 50 round
-   * trips. A leader whose core is full would take its proxies for silent, and begin anew what they do.
+   * Added to the timeout of an order that goes through a proxy, in milliseconds: about 50 round
+   * trips. With less, a leader whose processor core is saturated would consider its proxies silent,
+   * and repeat their work.
    */
-  readonly wayMs: number
-  /** A proxy that didn't answer gets no order for this long; a restart takes about as long. */
-  readonly distrustMs: number
+  readonly proxyAllowanceMs: number
+  /**
+   * A proxy that did not answer gets no orders for this long, in milliseconds: about the duration
+   * of a restart.
+   */
+  readonly proxySuspensionMs: number
 }
 
 /** @public */
 export const defaultRouterOptions: RouterOptions = {
   boot: 0,
   directEndpoints: 60,
-  wayMs: 150,
-  distrustMs: 1_000,
+  proxyAllowanceMs: 150,
+  proxySuspensionMs: 1_000,
 }
 
 /** @public */
@@ -51,7 +55,7 @@
       readonly forBoot: number
       readonly answers: readonly EndpointAnswer[]
     }
-  /** Which instances are there to be proxies, and how many endpoints there are. */
+  /** The instances that can act as proxies, and the number of endpoints. */
   | {
       readonly kind: RouterEventKind.Proxies
       readonly proxies: readonly ProxyInstance[]
@@ -68,13 +72,15 @@
 
 /** @public */
 export type RouterAction =
-  /** This instance calls the endpoint itself. */
+  /** Call the endpoint directly from this instance. */
   | { readonly kind: RouterActionKind.Call; readonly send: SendOrder }
+  /** Send orders to a proxy. */
   | {
       readonly kind: RouterActionKind.Forward
       readonly to: string
       readonly orders: readonly EndpointOrder[]
     }
+  /** Pass the result of an order to the dispatcher. */
   | { readonly kind: RouterActionKind.Tell; readonly event: OrderAnswered }
   | {
       readonly kind: RouterActionKind.Log
@@ -82,42 +88,43 @@
       readonly fields: Readonly<Record<string, unknown>>
     }
 
-/** An order that a proxy has. */
-interface Pending {
+/** An order that a proxy has not answered. */
+interface PendingOrder {
   readonly send: SendOrder
   readonly proxy: string
+  /** When the order times out. */
   readonly dueAt: number
 }
 
-/** How often unanswered orders are looked for, in milliseconds. */
-const CHECK_MS = 10
-/** A pause this long between two looks means that this instance stood still, in milliseconds. */
-const STALL_MS = 100
+/** Interval between checks for unanswered orders, in milliseconds. */
+const CHECK_INTERVAL_MS = 10
+/** A longer gap between two checks means that this instance was stalled, in milliseconds. */
+const STALL_THRESHOLD_MS = 100
 
 /**
- * Brings the orders of the leader to endpoints: by itself, or where there are many of them,
- * through other instances. These only carry orders: each is valid under the leader's fencing
- * token, and for a time by the endpoint's clock, so that a slow or lost proxy can do no harm.
+ * Routes the orders of the leader to endpoints: directly, or through other instances as proxies if
+ * there are many endpoints. Proxies only forward orders. Each order carries the leader's fencing
+ * token and expires by the endpoint's clock, so a slow or lost proxy does no harm.
  *
- * Orders are collected until the next tick, and those for one proxy go in one message.
+ * Orders are batched until the next tick, with one message for each proxy.
  *
  * @public
  */
 export class OrderRouter extends Machine<RouterEvent, RouterAction> {
   readonly #options: RouterOptions
   readonly #assignments = new ProxyAssignments()
-  readonly #pending = new Map<number, Pending>()
+  readonly #pending = new Map<number, PendingOrder>()
   /** Orders for the next message to each proxy. */
-  readonly #collected = new Map<string, EndpointOrder[]>()
+  readonly #batches = new Map<string, EndpointOrder[]>()
   /** When each proxy last answered. */
-  readonly #heardAt = new Map<string, number>()
-  readonly #distrustedUntil = new Map<string, number>()
+  readonly #lastAnswerAt = new Map<string, number>()
+  readonly #suspendedUntil = new Map<string, number>()
   #proxies: readonly ProxyInstance[] = []
   #endpoints = 0
   #checkedAt = -Infinity
-  /** After a standstill, answers that are there already are taken in first. */
-  #excusedUntil = -Infinity
-  #out: RouterAction[] = []
+  /** After a stall no order times out before this, so that answers already received come first. */
+  #timeoutsPausedUntil = -Infinity
+  #actions: RouterAction[] = []
 
   constructor(options: Partial<RouterOptions> = {}) {
     super()
@@ -130,15 +137,15 @@
         this.#route(now, event.send)
         return []
       case RouterEventKind.Answers:
-        this.#heardAt.set(event.from, now)
-        // An earlier process of this instance numbered its orders alike.
+        this.#lastAnswerAt.set(event.from, now)
+        // An earlier process of this instance used the same order numbers.
         if (event.forBoot !== this.#options.boot) break
         for (const answer of event.answers) this.#onAnswer(answer)
         break
       case RouterEventKind.Proxies:
         this.#proxies = event.proxies
         this.#endpoints = event.endpoints
-        this.#useTrusted(now)
+        this.#updateAssignments(now)
         break
       default:
         exhaustive(event)
@@ -147,42 +154,43 @@
   }
 
   override tick(now: number): readonly RouterAction[] {
-    if (now >= this.#checkedAt + CHECK_MS) {
-      if (now > this.#checkedAt + STALL_MS) this.#excusedUntil = now + STALL_MS
+    if (now >= this.#checkedAt + CHECK_INTERVAL_MS) {
+      if (now > this.#checkedAt + STALL_THRESHOLD_MS)
+        this.#timeoutsPausedUntil = now + STALL_THRESHOLD_MS
       this.#checkedAt = now
-      if (now >= this.#excusedUntil) this.#checkPending(now)
-      this.#assignments.forgetUnused(now)
+      if (now >= this.#timeoutsPausedUntil) this.#checkPending(now)
+      this.#assignments.evictUnused(now)
     }
-    for (const [to, orders] of this.#collected) {
-      this.#out.push({ kind: RouterActionKind.Forward, to, orders })
+    for (const [to, orders] of this.#batches) {
+      this.#actions.push({ kind: RouterActionKind.Forward, to, orders })
     }
-    this.#collected.clear()
+    this.#batches.clear()
     return this.#takeActions()
   }
 
   #takeActions(): readonly RouterAction[] {
-    const actions = this.#out
-    this.#out = []
+    const actions = this.#actions
+    this.#actions = []
     return actions
   }
 
   #route(now: number, send: SendOrder): void {
     const { order, zone } = send
     const proxy = this.usesProxies
-      ? this.#assignments.proxyOf(now, order.endpoint, zone)
+      ? this.#assignments.proxyFor(now, order.endpoint, zone)
       : undefined
     if (proxy === undefined) {
-      this.#out.push({ kind: RouterActionKind.Call, send })
+      this.#actions.push({ kind: RouterActionKind.Call, send })
       return
     }
-    const dueAt = now + order.timeoutMs + this.#options.wayMs
+    const dueAt = now + order.timeoutMs + this.#options.proxyAllowanceMs
     this.#pending.set(order.id, { send, proxy, dueAt })
-    const collected = this.#collected.get(proxy)
-    if (collected === undefined) this.#collected.set(proxy, [order])
-    else collected.push(order)
+    const batch = this.#batches.get(proxy)
+    if (batch === undefined) this.#batches.set(proxy, [order])
+    else batch.push(order)
   }
 
-  /** True while there are more endpoints than the leader calls itself. */
+  /** True while there are proxies and more endpoints than the leader calls directly. */
   get usesProxies(): boolean {
     return this.#endpoints > this.#options.directEndpoints && this.#assignments.hasProxies
   }
@@ -191,41 +199,48 @@
     const pending = this.#pending.get(id)
     if (pending === undefined || answer.case === undefined) return
     this.#pending.delete(id)
-    this.#out.push({ kind: RouterActionKind.Tell, event: answerEvent(pending.send, answer) })
+    this.#actions.push({ kind: RouterActionKind.Tell, event: answerEvent(pending.send, answer) })
   }
 
   #checkPending(now: number): void {
     for (const [id, { send, proxy, dueAt }] of this.#pending) {
       if (now < dueAt) continue
-      this.#giveUp(id, send, `its proxy ${proxy} gave no answer`)
-      // One that answers others has dropped this order, after a restart perhaps.
-      const hasAnswered = (this.#heardAt.get(proxy) ?? -Infinity) > send.sentAt
-      if (!hasAnswered) this.#distrust(now, proxy)
+      this.#failOrder(id, send, `no answer from proxy ${proxy}`)
+      // A proxy that has answered other orders since has lost this one, for example in a restart.
+      const hasAnswered = (this.#lastAnswerAt.get(proxy) ?? -Infinity) > send.sentAt
+      if (!hasAnswered) this.#suspend(now, proxy)
     }
   }
 
-  /** A silent proxy: all of its endpoints are called by others at once. */
-  #distrust(now: number, proxy: string): void {
-    if ((this.#distrustedUntil.get(proxy) ?? -Infinity) > now) return
-    this.#distrustedUntil.set(proxy, now + this.#options.distrustMs)
-    this.#useTrusted(now)
+  /**
+   * Suspends a proxy that did not answer: its pending orders fail, and other proxies take over its
+   * endpoints.
+   */
+  #suspend(now: number, proxy: string): void {
+    if ((this.#suspendedUntil.get(proxy) ?? -Infinity) > now) return
+    this.#suspendedUntil.set(proxy, now + this.#options.proxySuspensionMs)
+    this.#updateAssignments(now)
     const lost = [...this.#pending].filter(([, pending]) => pending.proxy === proxy)
-    for (const [id, { send }] of lost) this.#giveUp(id, send, `its proxy ${proxy} is silent`)
-    this.#collected.delete(proxy)
-    const fields = { proxy, heardAt: this.#heardAt.get(proxy), orders: lost.length + 1 }
-    this.#out.push({ kind: RouterActionKind.Log, sentence: 'a proxy is silent', fields })
+    for (const [id, { send }] of lost) this.#failOrder(id, send, `proxy ${proxy} does not answer`)
+    this.#batches.delete(proxy)
+    const fields = { proxy, heardAt: this.#lastAnswerAt.get(proxy), orders: lost.length + 1 }
+    this.#actions.push({
+      kind: RouterActionKind.Log,
+      sentence: 'proxy does not answer, so it is suspended',
+      fields,
+    })
   }
 
-  #giveUp(id: number, send: SendOrder, detail: string): void {
+  #failOrder(id: number, send: SendOrder, detail: string): void {
     this.#pending.delete(id)
     const event = answerEvent(send, noAnswer(send.order, detail))
-    this.#out.push({ kind: RouterActionKind.Tell, event })
+    this.#actions.push({ kind: RouterActionKind.Tell, event })
   }
 
-  #useTrusted(now: number): void {
-    const isTrusted = ({ instance }: ProxyInstance): boolean => {
-      return now >= (this.#distrustedUntil.get(instance) ?? -Infinity)
+  #updateAssignments(now: number): void {
+    const isAvailable = ({ instance }: ProxyInstance): boolean => {
+      return now >= (this.#suspendedUntil.get(instance) ?? -Infinity)
     }
-    this.#assignments.setProxies(this.#proxies.filter(isTrusted))
+    this.#assignments.setProxies(this.#proxies.filter(isAvailable))
   }
 }
--- a/packages/dispatch/src/lib/orders/ProxyAssignments.ts
+++ b/packages/dispatch/src/lib/orders/ProxyAssignments.ts
@@ -1,26 +1,30 @@
-/** An instance that may bring orders to endpoints. @public */
+/** An instance that can forward orders to endpoints. @public */
 export interface ProxyInstance {
   readonly instance: string
   readonly zone: string
 }
 
-/** Who calls an endpoint. */
+/** The instance that calls an endpoint. */
 interface Assignment {
   readonly instance: string
   usedAt: number
 }
 
 /**
- * A call from another zone takes one way between zones longer. It's worth half as much load
- * again, not a proxy that has twice as many endpoints.
+ * Load factor of a proxy in another zone than the endpoint, whose calls take one more trip between
+ * zones. A proxy in the same zone is preferred even with up to half as much load again, but not
+ * with twice as many endpoints.
  */
 const OTHER_ZONE_WEIGHT = 1.5
-/** An endpoint that got no order for this long is gone; each gets several a second. */
-const FORGET_MS = 10_000
+/**
+ * An endpoint without an order for this long is gone, in milliseconds: every endpoint gets several
+ * orders per second.
+ */
+const ASSIGNMENT_TTL_MS = 10_000
 
 /**
- * Which instance calls which endpoint: evenly, and from the endpoint's own zone where that is
- * possible. An endpoint stays with its proxy, so that connections are used again.
+ * Assigns endpoints to proxies: evenly, and within the zone of the endpoint if possible. An
+ * endpoint keeps its proxy, so that connections are reused.
  *
  * @internal
  */
@@ -33,7 +37,7 @@
     return this.#proxies.length > 0
   }
 
-  /** Endpoints of a lost proxy move on; when one has come, all are shared out anew. */
+  /** Reassigns the endpoints of a lost proxy, or all endpoints if there is a new proxy. */
   setProxies(proxies: readonly ProxyInstance[]): void {
     const known = new Set(this.#proxies.map(({ instance }) => instance))
     const present = new Set(proxies.map(({ instance }) => instance))
@@ -44,8 +48,8 @@
     }
   }
 
-  /** The instance to call an endpoint; undefined while there is none. */
-  proxyOf(now: number, endpoint: string, zone: string): string | undefined {
+  /** Returns the proxy of an endpoint and assigns one if needed; undefined if there is no proxy. */
+  proxyFor(now: number, endpoint: string, zone: string): string | undefined {
     const known = this.#assigned.get(endpoint)
     if (known !== undefined) {
       known.usedAt = now
@@ -58,9 +62,9 @@
     return chosen
   }
 
-  forgetUnused(now: number): void {
+  evictUnused(now: number): void {
     for (const [endpoint, { instance, usedAt }] of this.#assigned) {
-      if (now - usedAt > FORGET_MS) this.#release(endpoint, instance)
+      if (now - usedAt > ASSIGNMENT_TTL_MS) this.#release(endpoint, instance)
     }
   }
 
--- a/packages/dispatch/src/lib/orders/answerEvent.ts
+++ b/packages/dispatch/src/lib/orders/answerEvent.ts
@@ -3,7 +3,7 @@
 import type { SendOrder } from '../DispatchAction'
 import type { OrderAnswer } from '../gateway/EndpointGateway'
 
-/** What the dispatcher is told of an order that it sent. @internal */
+/** Creates the dispatcher's event for the answer to one of its orders. @internal */
 export function answerEvent({ order, sentAt }: SendOrder, answer: OrderAnswer): OrderAnswered {
   return { kind: DispatchEventKind.Answered, order, sentAt, answer }
 }
--- a/packages/dispatch/src/lib/relay/JobRelay.test.ts
+++ b/packages/dispatch/src/lib/relay/JobRelay.test.ts
@@ -41,8 +41,8 @@
   })
 }
 
-describe('a request at an entry', () => {
-  it('goes to the leader and comes back with its verdict', () => {
+describe('a relayed request', () => {
+  it('is sent to the leader and answered with its verdict', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     assert.deepEqual(sentTo(relay.step(1, submit)), ['a'])
@@ -52,32 +52,32 @@
     assert.equal(relay.openRequests, 0)
   })
 
-  it('ends at once when no next leader can be found, as unknown if the last one had it', () => {
+  it('ends immediately if no majority is reachable, as unknown if a leader had it', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
     relay.step(10, leader('', 1))
-    const out = { kind: RelayEventKind.NoLeaderInReach } as const
-    assert.deepEqual(verdicts(relay.step(210, out)), [JobVerdict.UNKNOWN])
+    const unreachable = { kind: RelayEventKind.NoLeaderInReach } as const
+    assert.deepEqual(verdicts(relay.step(210, unreachable)), [JobVerdict.UNKNOWN])
     relay.step(211, { ...submit, requestId: '2' })
-    assert.deepEqual(verdicts(relay.step(212, out)), [JobVerdict.REFUSED])
+    assert.deepEqual(verdicts(relay.step(212, unreachable)), [JobVerdict.REFUSED])
     assert.equal(relay.openRequests, 0)
   })
 
-  it('is told to the next leader when it ended as unknown: its caller may send it again', () => {
+  it('is reported to the next leader if it ended as unknown, since its caller may retry it', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
     relay.step(10, outcome('a', JobVerdict.UNKNOWN))
     assert.deepEqual(unansweredJobs(relay.step(20, leader('b', 2))), ['j'])
-    // One that is lost too soon has found out nothing.
+    // A leader that is lost this early has not determined the outcome.
     relay.step(1_000, leader('', 2))
     assert.deepEqual(unansweredJobs(relay.step(1_500, leader('c', 3))), ['j'])
-    const { takeOverMs } = defaultRelayTiming
-    assert.deepEqual(unansweredJobs(relay.step(1_500 + takeOverMs, leader('d', 4))), [])
+    const { takeoverMs } = defaultRelayTiming
+    assert.deepEqual(unansweredJobs(relay.step(1_500 + takeoverMs, leader('d', 4))), [])
   })
 
-  it('is not told to the next leader when it was refused, or is done', () => {
+  it('is not reported to the next leader if it was refused or completed', () => {
     for (const verdict of [JobVerdict.REFUSED, JobVerdict.COMPLETED]) {
       const relay = new JobRelay()
       relay.step(0, leader('a', 1))
@@ -87,7 +87,7 @@
     }
   })
 
-  it('stays with a leader that was found meanwhile', () => {
+  it('stays open if a new leader was found in the meantime', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
@@ -97,35 +97,35 @@
     assert.equal(relay.openRequests, 1)
   })
 
-  it('is refused as not run soon after no leader is found', () => {
+  it('is refused as not run after a short wait without a leader', () => {
     const relay = new JobRelay()
     relay.step(0, submit)
-    const { shortWaitMs } = defaultRelayTiming
-    assert.deepEqual(verdicts(relay.tick(shortWaitMs - 1)), [])
-    assert.deepEqual(verdicts(relay.tick(shortWaitMs)), [JobVerdict.REFUSED])
+    const { minLeaderWaitMs } = defaultRelayTiming
+    assert.deepEqual(verdicts(relay.tick(minLeaderWaitMs - 1)), [])
+    assert.deepEqual(verdicts(relay.tick(minLeaderWaitMs)), [JobVerdict.REFUSED])
   })
 
-  it('waits a little longer when the leader was lost just now: another may take over', () => {
+  it('waits longer if the leader was lost just before, since another may take over', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(5, leader('', 1))
     relay.step(10, submit)
-    const { leaderlessMs } = defaultRelayTiming
-    assert.deepEqual(verdicts(relay.tick(5 + leaderlessMs - 1)), [])
-    assert.deepEqual(verdicts(relay.tick(5 + leaderlessMs)), [JobVerdict.REFUSED])
+    const { leaderlessTimeoutMs } = defaultRelayTiming
+    assert.deepEqual(verdicts(relay.tick(5 + leaderlessTimeoutMs - 1)), [])
+    assert.deepEqual(verdicts(relay.tick(5 + leaderlessTimeoutMs)), [JobVerdict.REFUSED])
   })
 
-  it('ends as unknown when its leader is lost and no other comes', () => {
+  it('ends as unknown if its leader is lost and there is no new one', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
     relay.step(100, leader('', 1))
-    const { lostLeaderMs } = defaultRelayTiming
-    assert.deepEqual(verdicts(relay.tick(100 + lostLeaderMs - 1)), [])
-    assert.deepEqual(verdicts(relay.tick(100 + lostLeaderMs)), [JobVerdict.UNKNOWN])
+    const { lostLeaderTimeoutMs } = defaultRelayTiming
+    assert.deepEqual(verdicts(relay.tick(100 + lostLeaderTimeoutMs - 1)), [])
+    assert.deepEqual(verdicts(relay.tick(100 + lostLeaderTimeoutMs)), [JobVerdict.UNKNOWN])
   })
 
-  it('goes to the next leader, which is told that an earlier one had it', () => {
+  it('is sent to the next leader with the number of earlier attempts', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
@@ -137,7 +137,7 @@
     assert.equal(body.case === 'submitJob' && body.value.earlierAttempts, 1)
   })
 
-  it('is never called not run once a lost leader had it', () => {
+  it('is not refused once a lost leader had it', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
@@ -147,7 +147,7 @@
     ])
   })
 
-  it('counts an instance that does not lead as one that never had it', () => {
+  it('does not count an instance that is not the leader as an attempt', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
@@ -158,18 +158,18 @@
     ])
   })
 
-  it('is not called not run by a later process of the leader that was lost with it', () => {
+  it('is not refused because of an answer from a later process of its lost leader', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
     relay.step(100, leader('', 1))
-    const said = relay.step(300, outcome('a', JobVerdict.NOT_LEADER))
-    const { lostLeaderMs } = defaultRelayTiming
-    const ended = relay.tick(100 + lostLeaderMs)
-    assert.deepEqual(verdicts([...said, ...ended]), [JobVerdict.UNKNOWN])
+    const answered = relay.step(300, outcome('a', JobVerdict.NOT_LEADER))
+    const { lostLeaderTimeoutMs } = defaultRelayTiming
+    const ended = relay.tick(100 + lostLeaderTimeoutMs)
+    assert.deepEqual(verdicts([...answered, ...ended]), [JobVerdict.UNKNOWN])
   })
 
-  it('tells the next leader of the lost one, whatever a later process of that one says', () => {
+  it('counts a lost leader as an attempt, whatever a later process of it answers', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
@@ -181,7 +181,7 @@
     assert.equal(body.case === 'submitJob' && body.value.earlierAttempts, 1)
   })
 
-  it('is not said to have no route once a lost leader had it', () => {
+  it('does not end without a route once a lost leader had it', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
@@ -191,14 +191,14 @@
     ])
   })
 
-  it('ends as unknown before its caller leaves', () => {
+  it('ends as unknown no later than its deadline', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
     assert.deepEqual(verdicts(relay.tick(1_500)), [JobVerdict.UNKNOWN])
   })
 
-  it('is withdrawn at the leader when its caller leaves', () => {
+  it('is abandoned at the leader when its caller leaves', () => {
     const relay = new JobRelay()
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
--- a/packages/dispatch/src/lib/relay/JobRelay.ts
+++ b/packages/dispatch/src/lib/relay/JobRelay.ts
@@ -11,37 +11,40 @@
 /** Times of a relay, in milliseconds. @public */
 export interface RelayTiming {
   /**
-   * How long requests that no leader has taken wait for the next one after the last was lost; then
-   * they are refused as not run. A planned hand-over takes some 30 ms; an election takes 300 ms
-   * and more, longer than the shortest objectives of callers.
+   * How long after the loss of a leader requests that were not sent to any leader wait for the next
+   * one. Then they are refused as not run. A planned handover takes about 30 ms. An election takes
+   * 300 ms or more, longer than the shortest objectives of callers, so it isn't waited for.
    */
-  readonly leaderlessMs: number
-  /** A request waits this long at least: the news of a leader may be on its way. */
-  readonly shortWaitMs: number
-  /** How long a request that a lost leader had waits for the next one; then it ends as unknown. */
-  readonly lostLeaderMs: number
-  /** What is kept back of a caller's deadline for the way of the answer. */
-  readonly answerWayMs: number
-  /** When a refused caller may come back: an election is over by then. */
+  readonly leaderlessTimeoutMs: number
+  /** Minimum wait of a request for a leader: the notification of a new one may be in transit. */
+  readonly minLeaderWaitMs: number
+  /**
+   * How long after the loss of a leader requests that were sent to one wait for the next one. Then
+   * they end as unknown.
+   */
+  readonly lostLeaderTimeoutMs: number
+  /** Part of a caller's deadline that is reserved for the transit of the answer. */
+  readonly answerMarginMs: number
+  /** Retry delay sent to refused callers: an election is over by then. */
   readonly retryAfterMs: number
   /**
-   * How long a new leader is told of jobs that ended here while it was not known what became of
-   * them: until it has been found, and has asked all endpoints.
+   * How long jobs that ended with an unknown outcome are kept for reports to new leaders. It covers
+   * the time until a new leader is found and has queried all endpoints.
    */
-  readonly unansweredMs: number
-  /** A leader that lasts so long has found out what became of the jobs that it was told of. */
-  readonly takeOverMs: number
+  readonly unansweredRetentionMs: number
+  /** A leader that lasts this long has determined the outcome of the jobs reported to it. */
+  readonly takeoverMs: number
 }
 
 /** @public */
 export const defaultRelayTiming: RelayTiming = {
-  leaderlessMs: 120,
-  shortWaitMs: 10,
-  lostLeaderMs: 700,
-  answerWayMs: 40,
+  leaderlessTimeoutMs: 120,
+  minLeaderWaitMs: 10,
+  lostLeaderTimeoutMs: 700,
+  answerMarginMs: 40,
   retryAfterMs: 1_000,
-  unansweredMs: 5_000,
-  takeOverMs: 2_000,
+  unansweredRetentionMs: 5_000,
+  takeoverMs: 2_000,
 }
 
 /** @public */
@@ -51,7 +54,7 @@
   Abandon = 'abandon',
   Outcome = 'outcome',
   Leader = 'leader',
-  /** The leader is lost, and the next one can't be found from here for now. */
+  /** The leader is lost, and the next one can't be found: no majority of voters is reachable. */
   NoLeaderInReach = 'no_leader_in_reach',
 }
 
@@ -61,7 +64,7 @@
   readonly path: string
   /** When the request arrived. */
   readonly receivedAt: number
-  /** When its caller stops waiting. */
+  /** When the caller stops waiting. */
   readonly deadlineAt: number
 }
 
@@ -71,7 +74,7 @@
   | ({ readonly kind: RelayEventKind.Ask; readonly question: JobQuestionKind } & CallerRequest)
   | { readonly kind: RelayEventKind.Abandon; readonly requestId: string }
   | { readonly kind: RelayEventKind.Outcome; readonly from: string; readonly outcome: JobOutcome }
-  /** Empty while no leader is known. */
+  /** `leader` is empty while no leader is known. */
   | { readonly kind: RelayEventKind.Leader; readonly leader: string; readonly term: number }
   | { readonly kind: RelayEventKind.NoLeaderInReach }
 
@@ -87,53 +90,56 @@
   | {
       readonly kind: RelayActionKind.Answer
       readonly outcome: JobOutcome
-      /** Leaders that may have taken the request. */
+      /** Number of leaders that may have accepted the request. */
       readonly attempts: number
     }
 
 type Submit = Extract<RelayEvent, { kind: RelayEventKind.Submit }>
 type Ask = Extract<RelayEvent, { kind: RelayEventKind.Ask }>
 
-interface Relayed {
+interface OpenRequest {
   readonly event: Submit | Ask
-  /** Leader and term that it was last sent to; empty before that. */
+  /** Leader and term that the request was last sent to; the leader is empty before that. */
   sentTo: string
   sentTerm: number
-  /** Leaders that may have taken it. */
+  /** Number of leaders that may have accepted the request. */
   attempts: number
-  /** Its leader was lost after it was sent: an answer under its name may be that of a later process. */
+  /**
+   * The leader was lost after the request was sent to it. An answer under the leader's name may
+   * come from a later process of that instance.
+   */
   isLeaderLost: boolean
-  /** Since when it waits for a leader. */
-  waitsSince: number
+  /** Since when the request has waited for a leader. */
+  waitingSince: number
 }
 
 interface UnansweredJob {
   readonly endedAt: number
-  /** When the present leader was told of it. */
-  toldAt: number | undefined
-  /** How often it ended so. */
+  /** When the job was reported to the present leader. */
+  reportedAt: number | undefined
+  /** How often the job ended with an unknown outcome. */
   readonly times: number
 }
 
 /**
- * Brings callers' requests to the leader and its answers back. When the leader changes, open
- * requests go to the next one, which finds out what the earlier one started.
+ * Relays callers' requests to the leader, and its answers back. When the leader changes, open
+ * requests are sent to the next one, which determines what the earlier one started.
  *
- * What was sent to a leader that was lost may have run, so it never ends as refused.
+ * A job that was sent to a lost leader may have run, so it never ends as refused.
  *
  * @public
  */
 export class JobRelay extends Machine<RelayEvent, RelayAction> {
   readonly #timing: RelayTiming
-  readonly #open = new Map<string, Relayed>()
-  /** Jobs that a leader had and of which nobody here knows what ran, the first to end first. */
+  readonly #open = new Map<string, OpenRequest>()
+  /** Jobs that a leader had and whose outcome is unknown here, in the order of their end. */
   readonly #unanswered = new Map<string, UnansweredJob>()
   #leader = ''
   #term = 0
   #leaderLostAt = -Infinity
-  /** When the next open request has to be looked at; earlier than needed after some have ended. */
+  /** When the next open request must be checked; may be too early after requests have ended. */
   #dueAt = Infinity
-  #out: RelayAction[] = []
+  #actions: RelayAction[] = []
 
   constructor(timing: Partial<RelayTiming> = {}) {
     super()
@@ -152,7 +158,7 @@
     switch (event.kind) {
       case RelayEventKind.Submit:
       case RelayEventKind.Ask:
-        this.#take(now, event)
+        this.#accept(now, event)
         break
       case RelayEventKind.Abandon:
         this.#abandon(now, event.requestId)
@@ -164,16 +170,16 @@
         this.#onLeader(now, event.leader, event.term)
         break
       case RelayEventKind.NoLeaderInReach:
-        this.#endOpen(now)
+        this.#endAllLeaderless(now)
         break
     }
     return this.#takeActions()
   }
 
   override tick(now: number): readonly RelayAction[] {
-    for (const relayed of this.#open.values()) this.#tickOne(now, relayed)
+    for (const request of this.#open.values()) this.#checkRequest(now, request)
     this.#dueAt = Infinity
-    for (const relayed of this.#open.values()) this.#noteDue(relayed)
+    for (const request of this.#open.values()) this.#scheduleCheck(request)
     return this.#takeActions()
   }
 
@@ -181,40 +187,40 @@
     return this.#dueAt
   }
 
-  /** A request that is with a leader waits for its deadline, another one for the news of a leader. */
-  #noteDue({ event, sentTo }: Relayed): void {
+  /** A request sent to the present leader is checked at its deadline, others at the next tick. */
+  #scheduleCheck({ event, sentTo }: OpenRequest): void {
     const isWithLeader = sentTo !== '' && this.#leader !== ''
-    const dueAt = isWithLeader ? event.deadlineAt - this.#timing.answerWayMs : -Infinity
+    const dueAt = isWithLeader ? event.deadlineAt - this.#timing.answerMarginMs : -Infinity
     this.#dueAt = Math.min(this.#dueAt, dueAt)
   }
 
   #takeActions(): readonly RelayAction[] {
-    const actions = this.#out
-    this.#out = []
+    const actions = this.#actions
+    this.#actions = []
     return actions
   }
 
-  #take(now: number, event: Submit | Ask): void {
-    const relayed = {
+  #accept(now: number, event: Submit | Ask): void {
+    const request = {
       event,
       sentTo: '',
       sentTerm: 0,
       attempts: 0,
       isLeaderLost: false,
-      waitsSince: now,
+      waitingSince: now,
     }
-    this.#open.set(event.requestId, relayed)
-    if (this.#leader !== '') this.#send(now, relayed)
-    this.#noteDue(relayed)
+    this.#open.set(event.requestId, request)
+    if (this.#leader !== '') this.#send(now, request)
+    this.#scheduleCheck(request)
   }
 
-  #send(now: number, relayed: Relayed): void {
-    const { event, attempts } = relayed
+  #send(now: number, request: OpenRequest): void {
+    const { event, attempts } = request
     const { requestId, host, path, receivedAt, deadlineAt } = event
-    relayed.sentTo = this.#leader
-    relayed.sentTerm = this.#term
-    relayed.isLeaderLost = false
-    relayed.attempts++
+    request.sentTo = this.#leader
+    request.sentTerm = this.#term
+    request.isLeaderLost = false
+    request.attempts++
     const message =
       event.kind === RelayEventKind.Ask
         ? envelope({ case: 'askJob', value: { requestId, kind: event.question, host, path } })
@@ -230,148 +236,155 @@
               earlierAttempts: attempts,
             }),
           })
-    this.#out.push({ kind: RelayActionKind.Send, to: this.#leader, envelope: message })
+    this.#actions.push({ kind: RelayActionKind.Send, to: this.#leader, envelope: message })
   }
 
   #onLeader(now: number, leader: string, term: number): void {
     if (leader === '' && this.#leader !== '') this.#leaderLostAt = now
-    this.#forgetUnanswered(now)
-    for (const job of this.#unanswered.values()) job.toldAt = leader === '' ? undefined : now
+    this.#expireUnanswered(now)
+    for (const job of this.#unanswered.values()) job.reportedAt = leader === '' ? undefined : now
     this.#leader = leader
     this.#term = term
     if (leader === '') {
-      for (const relayed of this.#open.values()) relayed.isLeaderLost = true
+      for (const request of this.#open.values()) request.isLeaderLost = true
       if (this.#open.size > 0) this.#dueAt = -Infinity
       return
     }
-    this.#tellUnanswered()
-    for (const relayed of this.#open.values()) {
-      if (relayed.sentTo === leader && relayed.sentTerm === term) continue
-      this.#send(now, relayed)
+    this.#reportUnanswered()
+    for (const request of this.#open.values()) {
+      if (request.sentTo === leader && request.sentTerm === term) continue
+      this.#send(now, request)
     }
   }
 
-  /** Their callers may send them again, by another way: an earlier leader may have started them. */
-  #tellUnanswered(): void {
+  /**
+   * Reports the jobs with an unknown outcome to the new leader. Their callers may submit them again
+   * through another instance, and an earlier leader may have started them.
+   */
+  #reportUnanswered(): void {
     if (this.#unanswered.size === 0) return
     const jobs = [...this.#unanswered].map(([jobId, { times }]) => ({ jobId, times }))
     const message = envelope({ case: 'unansweredJobs', value: { jobs } })
-    this.#out.push({ kind: RelayActionKind.Send, to: this.#leader, envelope: message })
+    this.#actions.push({ kind: RelayActionKind.Send, to: this.#leader, envelope: message })
   }
 
-  #noteUnanswered(now: number, { event, attempts }: Relayed): void {
+  #recordUnanswered(now: number, { event, attempts }: OpenRequest): void {
     if (event.kind !== RelayEventKind.Submit || attempts === 0) return
-    this.#forgetUnanswered(now)
+    this.#expireUnanswered(now)
     const { jobId } = event.spec
     const times = (this.#unanswered.get(jobId)?.times ?? 0) + 1
     this.#unanswered.delete(jobId)
-    this.#unanswered.set(jobId, { endedAt: now, toldAt: undefined, times })
+    this.#unanswered.set(jobId, { endedAt: now, reportedAt: undefined, times })
   }
 
-  #forgetUnanswered(now: number): void {
-    const { unansweredMs, takeOverMs } = this.#timing
-    for (const [job, { endedAt, toldAt = Infinity }] of this.#unanswered) {
-      const isOver = now - endedAt >= unansweredMs || now - toldAt >= takeOverMs
+  #expireUnanswered(now: number): void {
+    const { unansweredRetentionMs, takeoverMs } = this.#timing
+    for (const [job, { endedAt, reportedAt = Infinity }] of this.#unanswered) {
+      const isOver = now - endedAt >= unansweredRetentionMs || now - reportedAt >= takeoverMs
       if (isOver) this.#unanswered.delete(job)
     }
   }
 
   #onOutcome(now: number, from: string, outcome: JobOutcome): void {
-    const relayed = this.#open.get(outcome.requestId)
-    if (relayed === undefined) return
+    const request = this.#open.get(outcome.requestId)
+    if (request === undefined) return
     switch (outcome.verdict) {
       case JobVerdict.NOT_LEADER:
       case JobVerdict.LEADER_LOST:
-        if (relayed.sentTo !== from) return
-        // The link hands a request to one process only, so this one has truly not taken it.
-        if (outcome.verdict === JobVerdict.NOT_LEADER && !relayed.isLeaderLost) relayed.attempts--
-        relayed.sentTo = ''
-        relayed.waitsSince = now
-        this.#noteDue(relayed)
+        if (request.sentTo !== from) return
+        // The link delivers a request to one process only. If the leader was not lost in between,
+        // this answer is from that process, which has not accepted the request.
+        if (outcome.verdict === JobVerdict.NOT_LEADER && !request.isLeaderLost) request.attempts--
+        request.sentTo = ''
+        request.waitingSince = now
+        this.#scheduleCheck(request)
         return
       case JobVerdict.REFUSED:
       case JobVerdict.NO_ROUTE:
-        if (!this.#mayHaveRun(relayed)) this.#finish(relayed, outcome)
-        else this.#finishUnknown(now, relayed, unknown(outcome))
+        if (!this.#mayHaveRun(request)) this.#finish(request, outcome)
+        else this.#finishUnknown(now, request, toUnknownOutcome(outcome))
         return
       case JobVerdict.UNKNOWN:
-        this.#finishUnknown(now, relayed, outcome)
+        this.#finishUnknown(now, request, outcome)
         return
       default:
-        this.#finish(relayed, outcome)
+        this.#finish(request, outcome)
     }
   }
 
-  /** True when another leader than the last one may have started it. */
-  #mayHaveRun({ event, attempts }: Relayed): boolean {
+  /** True if a leader before the last one may have started the job. */
+  #mayHaveRun({ event, attempts }: OpenRequest): boolean {
     return event.kind === RelayEventKind.Submit && attempts > 1
   }
 
-  /** Nobody is left to answer what is open: callers hear so at once. */
-  #endOpen(now: number): void {
+  /** Ends all open requests, because no leader can answer them. */
+  #endAllLeaderless(now: number): void {
     if (this.#leader !== '') return
-    for (const relayed of this.#open.values()) this.#endLeaderless(now, relayed)
+    for (const request of this.#open.values()) this.#endLeaderless(now, request)
   }
 
-  /** Refuses what no leader has had; what one had may have run. */
-  #endLeaderless(now: number, relayed: Relayed): void {
-    const { requestId } = relayed.event
+  /** Refuses a request that no leader had. Others may have run, so they end as unknown. */
+  #endLeaderless(now: number, request: OpenRequest): void {
+    const { requestId } = request.event
     const { retryAfterMs } = this.#timing
-    const isNotRun = relayed.attempts === 0
+    const isNotRun = request.attempts === 0
     const verdict = isNotRun ? JobVerdict.REFUSED : JobVerdict.UNKNOWN
     const reason = isNotRun ? 'no instance leads at the moment' : 'its leader was lost'
     const more = isNotRun ? { retryAfterMs } : {}
     const outcome = makeJobOutcome({ requestId, verdict, reason, ...more })
-    if (isNotRun) this.#finish(relayed, outcome)
-    else this.#finishUnknown(now, relayed, outcome)
+    if (isNotRun) this.#finish(request, outcome)
+    else this.#finishUnknown(now, request, outcome)
   }
 
-  #tickOne(now: number, relayed: Relayed): void {
-    const { event, sentTo, attempts, waitsSince } = relayed
+  #checkRequest(now: number, request: OpenRequest): void {
+    const { event, sentTo, attempts, waitingSince } = request
     const { requestId, deadlineAt } = event
-    if (sentTo === '' && this.#leader !== '' && now > waitsSince) this.#send(now, relayed)
-    const isOver = now >= deadlineAt - this.#timing.answerWayMs
-    if (this.#isLeaderless(now, relayed) || (isOver && attempts === 0)) {
-      this.#endLeaderless(now, relayed)
+    if (sentTo === '' && this.#leader !== '' && now > waitingSince) this.#send(now, request)
+    const isOver = now >= deadlineAt - this.#timing.answerMarginMs
+    if (this.#hasLeaderWaitExpired(now, request) || (isOver && attempts === 0)) {
+      this.#endLeaderless(now, request)
     } else if (isOver) {
       const reason = 'no answer came before the deadline'
       const verdict = JobVerdict.UNKNOWN
-      this.#finishUnknown(now, relayed, makeJobOutcome({ requestId, verdict, reason }))
+      this.#finishUnknown(now, request, makeJobOutcome({ requestId, verdict, reason }))
     }
   }
 
-  /** True once it isn't worth waiting for the next leader. */
-  #isLeaderless(now: number, { attempts, waitsSince }: Relayed): boolean {
+  /** True once the request should not wait any longer for the next leader. */
+  #hasLeaderWaitExpired(now: number, { attempts, waitingSince }: OpenRequest): boolean {
     if (this.#leader !== '') return false
-    const { leaderlessMs, shortWaitMs, lostLeaderMs } = this.#timing
-    if (attempts > 0) return now - this.#leaderLostAt >= lostLeaderMs
-    return now - waitsSince >= shortWaitMs && now - this.#leaderLostAt >= leaderlessMs
+    const { leaderlessTimeoutMs, minLeaderWaitMs, lostLeaderTimeoutMs } = this.#timing
+    if (attempts > 0) return now - this.#leaderLostAt >= lostLeaderTimeoutMs
+    return now - waitingSince >= minLeaderWaitMs && now - this.#leaderLostAt >= leaderlessTimeoutMs
   }
 
   #abandon(now: number, requestId: string): void {
-    const relayed = this.#open.get(requestId)
-    if (relayed === undefined) return
+    const request = this.#open.get(requestId)
+    if (request === undefined) return
     this.#open.delete(requestId)
-    this.#noteUnanswered(now, relayed)
-    if (relayed.sentTo === '') return
+    this.#recordUnanswered(now, request)
+    if (request.sentTo === '') return
     const message = envelope({ case: 'abandonJob', value: { requestId } })
-    this.#out.push({ kind: RelayActionKind.Send, to: relayed.sentTo, envelope: message })
+    this.#actions.push({ kind: RelayActionKind.Send, to: request.sentTo, envelope: message })
   }
 
-  /** A leader that is lost now may not have found out what became of the job. */
-  #finishUnknown(now: number, relayed: Relayed, outcome: JobOutcome): void {
-    this.#noteUnanswered(now, relayed)
-    this.#finish(relayed, outcome)
+  /**
+   * Ends a request as unknown, and keeps its job for a report to the next leader: the present one
+   * may be lost before it has determined the outcome.
+   */
+  #finishUnknown(now: number, request: OpenRequest, outcome: JobOutcome): void {
+    this.#recordUnanswered(now, request)
+    this.#finish(request, outcome)
   }
 
-  #finish(relayed: Relayed, outcome: JobOutcome): void {
-    this.#open.delete(relayed.event.requestId)
-    const { attempts } = relayed
-    this.#out.push({ kind: RelayActionKind.Answer, outcome, attempts })
+  #finish(request: OpenRequest, outcome: JobOutcome): void {
+    this.#open.delete(request.event.requestId)
+    const { attempts } = request
+    this.#actions.push({ kind: RelayActionKind.Answer, outcome, attempts })
   }
 }
 
-function unknown({ requestId, reason, term }: JobOutcome): JobOutcome {
+function toUnknownOutcome({ requestId, reason, term }: JobOutcome): JobOutcome {
   const verdict = JobVerdict.UNKNOWN
   return makeJobOutcome({ requestId, verdict, reason, term })
 }
