--- a/packages/dispatch/src/lib/discovery/DiscoveryMachine.test.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryMachine.test.ts
@@ -15,7 +15,7 @@
   return new DiscoveryMachine({ ...options, startedAt: 0 })
 }
 
-const told = (
+const directoryFrom = (
   from: string,
   leader: string,
   term: number,
@@ -38,16 +38,16 @@
   it('starts from the seeds and adds the voter hosts that they list', () => {
     const entry = makeEntry()
     entry.tick(0)
-    entry.step(10, told('a', '', 0, ['a', 'c']))
+    entry.step(10, directoryFrom('a', '', 0, ['a', 'c']))
     assert.deepEqual(entry.voterHosts, ['a', 'b', 'c'])
   })
 
   it('accepts the leader of the highest term', () => {
     const entry = makeEntry()
-    entry.step(10, told('a', 'a', 3))
-    entry.step(11, told('b', 'b', 2))
+    entry.step(10, directoryFrom('a', 'a', 3))
+    entry.step(11, directoryFrom('b', 'b', 2))
     assert.equal(entry.leader, 'a')
-    entry.step(12, told('b', 'b', 4))
+    entry.step(12, directoryFrom('b', 'b', 4))
     assert.equal(entry.leader, 'b')
   })
 
@@ -56,7 +56,7 @@
     const lostAt = leaderTimeoutMs + 1
     const loseLeader = (): DiscoveryMachine => {
       const entry = makeEntry()
-      entry.step(0, told('a', 'b', 3, ['a', 'b', 'c']))
+      entry.step(0, directoryFrom('a', 'b', 3, ['a', 'b', 'c']))
       entry.tick(lostAt)
       return entry
     }
@@ -66,14 +66,15 @@
 
     it('reports that no majority of the voter hosts answers', () => {
       const entry = loseLeader()
-      entry.step(lostAt + 10, told('a', '', 3, ['b', 'c']))
+      entry.step(lostAt + 10, directoryFrom('a', '', 3, ['b', 'c']))
       assert.equal(searchEnd(entry).length, 1)
       assert.equal(entry.tick(lostAt + 2 * leaderSearchMs).length > 0, true, 'it keeps searching')
     })
 
     it('keeps waiting for the next leader if a majority answers', () => {
       const entry = loseLeader()
-      for (const host of ['a', 'c']) entry.step(lostAt + 10, told(host, '', 3, ['a', 'b', 'c']))
+      for (const host of ['a', 'c'])
+        entry.step(lostAt + 10, directoryFrom(host, '', 3, ['a', 'b', 'c']))
       assert.deepEqual(searchEnd(entry), [])
     })
 
@@ -95,9 +96,9 @@
 
   it('drops a leader that only others report', () => {
     const entry = makeEntry()
-    entry.step(0, told('a', 'b', 3))
+    entry.step(0, directoryFrom('a', 'b', 3))
     const { leaderTimeoutMs } = defaultDiscoveryTiming
-    entry.step(leaderTimeoutMs, told('a', 'b', 3))
+    entry.step(leaderTimeoutMs, directoryFrom('a', 'b', 3))
     const actions = entry.tick(leaderTimeoutMs + 1)
     assert.equal(ofKind(actions, DiscoveryActionKind.LeaderChanged).length, 1)
     assert.equal(entry.leader, '')
@@ -108,7 +109,7 @@
     const sentIn = (from: number, to: number): number => {
       let sent = 0
       for (let now = from; now < to; now += 50) {
-        if (entry.leader !== '') entry.step(now, told('a', 'a', 1))
+        if (entry.leader !== '') entry.step(now, directoryFrom('a', 'a', 1))
         for (const action of entry.tick(now)) {
           if (action.kind === DiscoveryActionKind.Send && action.to === 'b') sent++
         }
@@ -116,18 +117,18 @@
       return sent
     }
     assert.equal(sentIn(0, 1_000), 10)
-    entry.step(1_000, told('a', 'a', 1))
+    entry.step(1_000, directoryFrom('a', 'a', 1))
     assert.equal(sentIn(1_000, 5_000), 4)
-    entry.step(5_000, told('a', '', 1))
+    entry.step(5_000, directoryFrom('a', '', 1))
     assert.equal(sentIn(5_000, 6_000), 10)
   })
 
   it('drops a leader immediately if it reports itself that it no longer leads', () => {
     const entry = makeEntry()
-    entry.step(0, told('a', 'a', 3))
-    entry.step(5, told('b', '', 3))
+    entry.step(0, directoryFrom('a', 'a', 3))
+    entry.step(5, directoryFrom('b', '', 3))
     assert.equal(entry.leader, 'a', 'another instance may know less')
-    entry.step(10, told('a', '', 3))
+    entry.step(10, directoryFrom('a', '', 3))
     assert.equal(entry.leader, '')
   })
 
@@ -141,7 +142,7 @@
         return body.case === 'instanceDirectory' ? body.value.leader : []
       })
     }
-    host.step(0, told('b', 'x', 3))
+    host.step(0, directoryFrom('b', 'x', 3))
     assert.deepEqual(reportedLeaders(host.step(1, announced('entry', false, 100))), [''])
     host.step(2, { kind: DiscoveryEventKind.Voters, instances: [], leader: 'x', term: 3 })
     assert.deepEqual(reportedLeaders(host.step(3, announced('entry', false, 102))), ['x'])
@@ -175,12 +176,12 @@
 
 describe('instances that follow a leader', () => {
   const { leaderTimeoutMs } = defaultDiscoveryTiming
-  const heard = (term: number): DiscoveryEvent => {
+  const leaderMessage = (term: number): DiscoveryEvent => {
     return { kind: DiscoveryEventKind.Heard, from: 'a', term }
   }
   const makeFollower = (): DiscoveryMachine => {
     const entry = makeEntry()
-    entry.step(0, told('a', 'a', 3))
+    entry.step(0, directoryFrom('a', 'a', 3))
     entry.tick(0)
     return entry
   }
@@ -236,7 +237,7 @@
 
   it('keep a leader that answers, and drop one that falls silent', () => {
     const entry = makeFollower()
-    entry.step(100, heard(3))
+    entry.step(100, leaderMessage(3))
     entry.tick(100 + leaderTimeoutMs)
     assert.equal(entry.leader, 'a')
     assert.ok(entry.tickDueAt <= 100 + leaderTimeoutMs + 1)
@@ -246,7 +247,7 @@
 
   it('do not take answers of an earlier term as a sign of the present leader', () => {
     const entry = makeFollower()
-    entry.step(100, heard(2))
+    entry.step(100, leaderMessage(2))
     entry.tick(leaderTimeoutMs + 1)
     assert.equal(entry.leader, '')
   })
@@ -267,16 +268,16 @@
     host.step(0, announced('a', true, 0))
     host.step(0, announced('b', true, 0))
     host.step(0, announced('entry', false, 0))
-    host.step(0, told('b', '', 0))
-    host.step(0, told('entry', '', 0))
+    host.step(0, directoryFrom('b', '', 0))
+    host.step(0, directoryFrom('entry', '', 0))
     assert.deepEqual(host.helpers(10), [{ instance: 'b', zone: 'z' }])
   })
 
   it('are dropped once they stop announcing themselves or answering', () => {
     const host = makeHost()
     host.step(0, announced('a', true, 0))
-    host.step(0, told('a', '', 0))
-    host.step(proxyCandidateTimeoutMs, told('a', '', 0))
+    host.step(0, directoryFrom('a', '', 0))
+    host.step(proxyCandidateTimeoutMs, directoryFrom('a', '', 0))
     assert.deepEqual(namesOf(host, proxyCandidateTimeoutMs), ['a'])
     assert.deepEqual(namesOf(host, proxyCandidateTimeoutMs + 1), [])
     host.step(proxyCandidateTimeoutMs + 1, announced('a', true, proxyCandidateTimeoutMs + 1))
@@ -286,7 +287,7 @@
 
   it('announce immediately that they are about to stop, and are dropped', () => {
     const host = makeHost()
-    host.step(0, told('a', '', 0))
+    host.step(0, directoryFrom('a', '', 0))
     const other = new DiscoveryMachine({
       instance: 'a',
       zone: 'z',
--- a/packages/dispatch/src/lib/discovery/DiscoveryMachine.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryMachine.ts
@@ -144,7 +144,7 @@
     let nextAt = now + leaderHeartbeatIntervalMs
     for (const name of this.#known.nonVoters) {
       const dueAt = (this.#leadershipSentAt.get(name) ?? -Infinity) + leaderHeartbeatIntervalMs
-      if (now >= dueAt) this.#sendDirectory(now, name)
+      if (now >= dueAt) this.#advertise(now, name)
       else nextAt = Math.min(nextAt, dueAt)
     }
     this.#heartbeatDueAt = nextAt
@@ -186,19 +186,18 @@
     // The link to the sender must exist before the answer can be sent.
     this.#refreshPeers()
     const { hostsVoter, leaderless } = announcement
-    if (isNew || hostsVoter || leaderless || this.#isDirectoryOutdated(now, from))
-      this.#sendDirectory(now, from)
+    if (isNew || hostsVoter || leaderless || this.#isOutdated(now, from)) this.#advertise(now, from)
   }
 
   /** True if an instance was not sent the current directory, or not within the refresh interval. */
-  #isDirectoryOutdated(now: number, instance: string): boolean {
-    const told = this.#sentDirectories.get(instance)
-    if (told === undefined || now - told.sentAt >= this.#timing.directoryRefreshIntervalMs)
-      return true
-    return told.directory !== this.#directoryKey()
+  #isOutdated(now: number, instance: string): boolean {
+    const last = this.#sentDirectories.get(instance)
+    if (last === undefined || now - last.sentAt >= this.#timing.refreshIntervalMs) return true
+    return last.directory !== this.#directoryKey()
   }
 
-  #sendDirectory(now: number, to: string): void {
+  /** Sends the directory to an instance. */
+  #advertise(now: number, to: string): void {
     this.#sentDirectories.set(to, { directory: this.#directoryKey(), sentAt: now })
     this.#leadershipSentAt.set(to, now)
     this.#send(to, this.#directory())
@@ -248,7 +247,7 @@
     }
     // If this instance became or ceased to be the leader, notify all announced instances.
     if (!this.#options.hostsVoter || (leader !== this.#options.instance && !wasOwn)) return
-    for (const to of this.#known.announced) this.#sendDirectory(now, to)
+    for (const to of this.#known.announced) this.#advertise(now, to)
   }
 
   /** Reports that no majority of the voter hosts has answered by the end of the search. */
--- a/packages/dispatch/src/lib/discovery/DiscoveryTiming.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryTiming.ts
@@ -9,7 +9,7 @@
   /** The leader sends a heartbeat to each instance to which it has sent nothing for this long. */
   readonly leaderHeartbeatIntervalMs: number
   /** Announcements are answered at least this often, even if the directory has not changed. */
-  readonly directoryRefreshIntervalMs: number
+  readonly refreshIntervalMs: number
   /** An instance that was silent for longer is removed from the peers. */
   readonly peerExpiryMs: number
   /** A leader that was silent for longer is considered lost. */
@@ -42,7 +42,7 @@
   voterHostAnnounceIntervalMs: 500,
   nonVoterAnnounceIntervalMs: 1_000,
   leaderHeartbeatIntervalMs: 140,
-  directoryRefreshIntervalMs: 4_000,
+  refreshIntervalMs: 4_000,
   peerExpiryMs: 15_000,
   leaderTimeoutMs: 450,
   proxyCandidateTimeoutMs: 1_200,
--- a/packages/dispatch/src/lib/jobs/IntakeLimit.ts
+++ b/packages/dispatch/src/lib/jobs/IntakeLimit.ts
@@ -53,11 +53,11 @@
   /**
    * Updates the limit at the end of a step.
    *
-   * @param behindMs - time since the first message of the step was received, in milliseconds
+   * @param delayMs - time since the first message of the step was received, in milliseconds
    */
-  noteStep(behindMs: number): void {
+  noteStep(delayMs: number): void {
     this.#meanDelayMs +=
-      (Math.min(behindMs, DELAY_SAMPLE_CAP_MS) - this.#meanDelayMs) * SMOOTHING_FACTOR
+      (Math.min(delayMs, DELAY_SAMPLE_CAP_MS) - this.#meanDelayMs) * SMOOTHING_FACTOR
     this.#meanAdmitted += (this.#admitted - this.#meanAdmitted) * SMOOTHING_FACTOR
     this.#admitted = 0
     if (this.#meanDelayMs > MAX_DELAY_MS) {
--- a/packages/dispatch/src/lib/orders/OrderRouter.ts
+++ b/packages/dispatch/src/lib/orders/OrderRouter.ts
@@ -99,7 +99,7 @@
 /** Interval between checks for unanswered orders, in milliseconds. */
 const CHECK_INTERVAL_MS = 10
 /** A longer gap between two checks means that this instance was stalled, in milliseconds. */
-const STALL_THRESHOLD_MS = 100
+const STALL_MS = 100
 
 /**
  * Routes the orders of the leader to endpoints: directly, or through other instances as proxies if
@@ -155,8 +155,7 @@
 
   override tick(now: number): readonly RouterAction[] {
     if (now >= this.#checkedAt + CHECK_INTERVAL_MS) {
-      if (now > this.#checkedAt + STALL_THRESHOLD_MS)
-        this.#timeoutsPausedUntil = now + STALL_THRESHOLD_MS
+      if (now > this.#checkedAt + STALL_MS) this.#timeoutsPausedUntil = now + STALL_MS
       this.#checkedAt = now
       if (now >= this.#timeoutsPausedUntil) this.#checkPending(now)
       this.#assignments.evictUnused(now)
