--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The replicated log: presets, audit record, claims and the set of voters.
+ * The replicated log of the control plane: presets, audit log, claims and the set of voters.
  *
  * @packageDocumentation
  */
@@ -26,7 +26,7 @@
 export type { ControlAction, PersistBatch, SendAction } from './lib/voter/ControlAction'
 export { ControlEventKind } from './lib/voter/ControlEvent'
 export type { ControlEvent } from './lib/voter/ControlEvent'
-export { EVERY_INSTANCE } from './lib/voter/SettingsSpread'
+export { EVERY_INSTANCE } from './lib/voter/SettingsRollout'
 export { VoterMachine } from './lib/voter/VoterMachine'
 export { defaultVoterLimits, defaultVoterTiming } from './lib/voter/VoterOptions'
 export type {
--- a/packages/control/src/lib/errors/ControlError.ts
+++ b/packages/control/src/lib/errors/ControlError.ts
@@ -2,17 +2,17 @@
 
 /** @public */
 export enum ControlErrorKind {
-  /** The disk failed or what it holds is damaged; the cause says which. */
+  /** The disk failed or its contents are damaged; see `cause`. */
   Storage = 'storage',
-  /** The folder holds a set of voters already. */
+  /** The folder already holds a voter. */
   AlreadyInitialized = 'already_initialized',
-  /** The arguments name no sensible set of voters. */
+  /** The arguments do not describe a valid set of voters. */
   InvalidMembers = 'invalid_members',
   /** A claim may or may not have been committed: its job must not be dispatched. */
   ClaimUnknown = 'claim_unknown',
 }
 
-/** What can go wrong in this package, by kind. @public */
+/** The errors of this package, distinguished by `kind`. @public */
 export class ControlError extends Data.TaggedError('ControlError')<{
   readonly kind: ControlErrorKind
   readonly detail: string
--- a/packages/control/src/lib/node/ControlHost.ts
+++ b/packages/control/src/lib/node/ControlHost.ts
@@ -136,7 +136,7 @@
   }
 
   handOver(): void {
-    this.#parts.tell({ to: NodePart.Voter, event: { kind: ControlEventKind.HandOver } })
+    this.#parts.tell({ to: NodePart.Voter, event: { kind: ControlEventKind.TransferLeadership } })
   }
 
   /** When a majority last followed this instance as its leader; -Infinity if it doesn't lead. */
--- a/packages/control/src/lib/soak/SoakChecks.ts
+++ b/packages/control/src/lib/soak/SoakChecks.ts
@@ -2,7 +2,7 @@
 import type { AuditRecord, Command, CommandAnswer, SettingsState } from '@cherryhitch/protocol'
 import { verifyAudit } from '../state/auditChain'
 import type { ControlAction, ControlActionKind } from '../voter/ControlAction'
-import { EVERY_INSTANCE } from '../voter/SettingsSpread'
+import { EVERY_INSTANCE } from '../voter/SettingsRollout'
 
 type Applied = Extract<ControlAction, { kind: ControlActionKind.Applied }>
 
--- a/packages/control/src/lib/soak/brokenMechanisms.ts
+++ b/packages/control/src/lib/soak/brokenMechanisms.ts
@@ -19,7 +19,7 @@
 }
 
 class LearnersCount extends QuorumRules {
-  override counts(): boolean {
+  override hasVote(): boolean {
     return true
   }
 
--- a/packages/control/src/lib/state/ClaimTable.ts
+++ b/packages/control/src/lib/state/ClaimTable.ts
@@ -9,27 +9,28 @@
 
 /** @internal */
 export interface ClaimTableOptions {
-  /** Claims kept at most. */
+  /** Maximum number of claims. */
   readonly limit: number
-  /** Milliseconds for which an ended claim is kept at least. */
+  /** Minimum time for which an ended claim is kept, in milliseconds. */
   readonly retentionMs: number
 }
 
 /**
- * Which job holds which submission key.
+ * Records which job holds which submission key.
  *
- * A claim that has not ended is never dropped. One that ended is dropped only when room is needed
- * and its retention is over; if there is no room, a new claim is refused, which is true and safe.
+ * A claim that has not ended is never evicted. An ended claim is evicted only when the table is
+ * full and its retention time is over. If no claim can be evicted, a new one is refused, which is
+ * safe: its job is not dispatched.
  *
  * A stored claim without a state was released: its job was never dispatched and never will be, so
- * another job may claim the key. It is kept, so that a late claim of the released job fails.
+ * another job may claim the key. It is kept so that a late claim by the released job fails.
  *
  * @internal
  */
 export class ClaimTable {
   readonly #options: ClaimTableOptions
   readonly #claims = new Map<string, StoredClaim>()
-  /** Keys of claims that ended or were released, the earliest first. */
+  /** When each ended or released claim ended, by table key, earliest first. */
   readonly #ended = new Map<string, number>()
 
   constructor(options: ClaimTableOptions, stored: readonly StoredClaim[]) {
@@ -62,17 +63,17 @@
     return granted(claim)
   }
 
-  /** Stores the answer of a claimed job; one without an answer releases the key. */
+  /** Ends a claim and stores the answer of its job; an end without an answer releases the key. */
   end(end: ClaimEnd): void {
     const key = tableKey(end)
     const held = this.#claims.get(key)
-    const released = end.answer.length === 0
+    const isRelease = end.answer.length === 0
     if (held === undefined) {
-      if (released) this.#storeEnd(key, releasedClaim(end))
+      if (isRelease) this.#storeEnd(key, releasedClaim(end))
       return
     }
     if (held.claim?.jobId !== end.jobId || held.state !== ClaimState.CLAIMED) return
-    const state = released ? ClaimState.UNSPECIFIED : ClaimState.ENDED
+    const state = isRelease ? ClaimState.UNSPECIFIED : ClaimState.ENDED
     const { claim } = held
     const { answer, atMs: endedAtMs } = end
     this.#storeEnd(key, create(StoredClaimSchema, { claim, state, answer, endedAtMs }))
@@ -109,12 +110,12 @@
 function answerForHeld(held: StoredClaim, claim: KeyClaim): ClaimAnswer {
   const { state, answer } = held
   const jobId = held.claim?.jobId ?? ''
-  // The same job may ask twice, when it lost the first answer; it dispatches once.
-  const repeated = jobId === claim.jobId && state === ClaimState.CLAIMED
+  // A job may claim again if the first answer was lost; it is still dispatched only once.
+  const isRepeated = jobId === claim.jobId && state === ClaimState.CLAIMED
   if (held.claim?.contentHash !== claim.contentHash && state !== ClaimState.UNSPECIFIED) {
     return create(ClaimAnswerSchema, { verdict: ClaimVerdict.MISMATCH, jobId, state })
   }
-  if (repeated) return granted(claim)
+  if (isRepeated) return granted(claim)
   return create(ClaimAnswerSchema, { verdict: ClaimVerdict.HELD, jobId, state, answer })
 }
 
--- a/packages/control/src/lib/state/ControlState.test.ts
+++ b/packages/control/src/lib/state/ControlState.test.ts
@@ -11,7 +11,7 @@
 } from '@cherryhitch/protocol'
 import type { Command, PresetDefinition } from '@cherryhitch/protocol'
 import { claimEnd, claimKeys, keyClaim, setPreset } from '../testing/commands'
-import { EVERY_INSTANCE } from '../voter/SettingsSpread'
+import { EVERY_INSTANCE } from '../voter/SettingsRollout'
 import { verifyAudit } from './auditChain'
 import { ControlState, defaultControlStateOptions } from './ControlState'
 import { genesisSnapshot } from './genesis'
@@ -62,7 +62,7 @@
 }
 
 describe('presets', () => {
-  it('ship whole and valid, and each says when to choose it', () => {
+  it('that ship with the program are valid, including their descriptions', () => {
     for (const preset of shippedPresets) assert.ok(validatePreset(preset).ok, preset.name)
   })
 
@@ -71,7 +71,7 @@
     'without a description': { description: '' },
     'that admit no job': { jobsInFlightPerInstance: 0 },
     'with a share above one': { callerQueueShare: 1.5 },
-    'with a share that is no number': { callerQueueShare: NaN },
+    'with a share that is not a number': { callerQueueShare: NaN },
     'with a negative retry budget': { retryBudget: -0.1 },
     'without a health rule': { healthRule: HealthRule.UNSPECIFIED },
   }
@@ -85,7 +85,7 @@
     })
   }
 
-  it('change by whole versions, each with who, when, why, from and to', () => {
+  it('change by one version each, recorded with operator, reason, from and to', () => {
     const state = firstState()
     assert.equal(state.apply(define('c1', { name: 'night' }, 1)).result, CommandResult.APPLIED)
     assert.equal(state.apply(setPreset('c2', 'night', 2)).result, CommandResult.APPLIED)
@@ -121,7 +121,7 @@
 })
 
 describe('answers', () => {
-  it('are the first ones for a resend, also from a snapshot', () => {
+  it('to a resent command are the first ones, also after a reload from a snapshot', () => {
     let state = firstState()
     const first = state.apply(setPreset('c1', 'peak', 1))
     const conflict = state.apply(setPreset('c2', 'maintenance', 1))
@@ -133,7 +133,7 @@
     assert.equal(state.settings.version, 2)
   })
 
-  it('of operators are not pushed out by a flood of claims', () => {
+  it('to operators are not evicted by a flood of claims', () => {
     const state = firstState({ ...defaultControlStateOptions, answerLimit: 3 })
     const first = state.apply(setPreset('c1', 'peak', 1))
     for (let key = 0; key < 20; key++) claim(state, `k${key}`, 'job')
@@ -141,15 +141,15 @@
   })
 })
 
-describe('the audit record', () => {
+describe('the audit log', () => {
   const alterations: Record<string, (records: ReturnType<ControlState['audit']>) => void> = {
     'an altered operator': ([, second]) => second && (second.operator = 'other'),
     'an altered time': ([, , third]) => third && (third.atMs = 99),
-    'a record left out': (records) => records.splice(1, 1),
+    'a removed record': (records) => records.splice(1, 1),
     'two records swapped': (records) => records.splice(1, 2, ...records.slice(1, 3).reverse()),
-    'a record added': (records) => records.splice(1, 0, ...records.slice(1, 2)),
+    'an inserted record': (records) => records.splice(1, 0, ...records.slice(1, 2)),
     'an altered first hash': ([first]) => first && (first.previousHash = 'f'.repeat(64)),
-    'the end cut off': (records) => records.pop(),
+    'a truncated end': (records) => records.pop(),
   }
   for (const [what, alter] of Object.entries(alterations)) {
     it(`shows ${what}`, () => {
@@ -164,7 +164,7 @@
     })
   }
 
-  it('tells which preset was in force where, and where a cut off zone lagged behind', () => {
+  it('shows which preset was in force at an instance, and whether it was out of date', () => {
     const state = firstState()
     state.apply(inForce('i1', 'a', 1, 100))
     state.apply(inForce('i2', 'b', 1, 100))
@@ -181,7 +181,11 @@
     assert.equal(read('a', 50), undefined)
     assert.deepEqual(read('a', 250), ['peak', true])
     assert.deepEqual(read('b', 250), ['ordinary', true])
-    assert.deepEqual(read('b', 5_000), ['ordinary', false], 'cut off, and it says so')
+    assert.deepEqual(
+      read('b', 5_000),
+      ['ordinary', false],
+      'partitioned, and reported as unconfirmed',
+    )
     assert.deepEqual(read('b', 9_000), ['peak', true])
     assert.deepEqual(read(EVERY_INSTANCE, 3_000), ['ordinary', true])
     assert.deepEqual(read(EVERY_INSTANCE, 3_200), ['peak', true])
@@ -189,10 +193,10 @@
 })
 
 describe('claims', () => {
-  it('are granted once, held for others, and answered with the end', () => {
+  it('are granted to one job and held for others, who get its answer after the end', () => {
     const state = firstState()
     assert.equal(claim(state, 'k', 'job1'), 'GRANTED')
-    assert.equal(claim(state, 'k', 'job1'), 'GRANTED', 'the same job may ask again')
+    assert.equal(claim(state, 'k', 'job1'), 'GRANTED', 'the same job may claim again')
     assert.equal(claim(state, 'k', 'job2'), 'HELD')
     assert.equal(claim(state, 'k', 'job2', 1, 'other'), 'MISMATCH')
     end(state, 'k', 'job2', 'not mine')
@@ -204,19 +208,19 @@
     assert.equal(new TextDecoder().decode(held.answer), 'answer')
   })
 
-  it('that were released may be claimed by another job, but never by the released one', () => {
+  it('that were released may be claimed by another job, but never by the released job', () => {
     let state = firstState()
     claim(state, 'k', 'job1')
     end(state, 'k', 'job1', '')
     end(state, 'late', 'job2', '')
     state = reload(state)
-    assert.equal(claim(state, 'late', 'job2'), 'HELD', 'the claim overtook its release')
+    assert.equal(claim(state, 'late', 'job2'), 'HELD', 'the release arrived before its claim')
     assert.equal(claim(state, 'k', 'job1'), 'HELD')
     assert.equal(claim(state, 'k', 'job3'), 'GRANTED')
     assert.equal(claim(state, 'k', 'job4'), 'HELD')
   })
 
-  it('are refused when full; only ended ones whose retention is over make room', () => {
+  it('are refused when the table is full; only ended ones past retention are evicted', () => {
     const options = { ...defaultControlStateOptions, claimLimit: 2, claimRetentionMs: 100 }
     let state = firstState(options)
     claim(state, 'k1', 'job1', 0)
@@ -229,7 +233,7 @@
     assert.equal(
       claim(state, 'k1', 'job9', 9_000_000),
       'HELD',
-      'one without an end is never dropped',
+      'a claim that has not ended is never evicted',
     )
   })
 })
--- a/packages/control/src/lib/state/ControlState.ts
+++ b/packages/control/src/lib/state/ControlState.ts
@@ -25,27 +25,27 @@
   SettingsState,
   Voter,
 } from '@cherryhitch/protocol'
-import { AnswerMemory } from './AnswerMemory'
+import { RecentAnswers } from './RecentAnswers'
 import { chainRecord } from './auditChain'
 import type { AuditContent } from './auditChain'
 import { ClaimTable } from './ClaimTable'
 import { validatePreset } from './presets'
 import { changeMembers } from './voterSet'
 
-/** Version of the stored snapshot. @internal */
+/** Schema version of the stored snapshot. @internal */
 export const SNAPSHOT_SCHEMA_VERSION = 1
 
 /** @public */
 export interface ControlStateOptions {
-  /** Claims kept at most; a further one is refused. */
+  /** Maximum number of claims; further ones are refused. */
   readonly claimLimit: number
-  /** Milliseconds for which an ended claim is kept at least. */
+  /** Minimum time for which an ended claim is kept, in milliseconds. */
   readonly claimRetentionMs: number
-  /** Answers kept at most, of operators' commands and of claims each. */
+  /** Maximum number of answers kept, for operators' commands and for claims separately. */
   readonly answerLimit: number
 }
 
-/** Why these: `docs/design/claims.md`. @public */
+/** `docs/design/claims.md` gives the reasons for these values. @public */
 export const defaultControlStateOptions: ControlStateOptions = {
   claimLimit: 100_000,
   claimRetentionMs: 6 * 3_600_000,
@@ -53,17 +53,17 @@
 }
 
 /**
- * What the committed commands add up to. Applying is pure: voters that apply the same commands
- * hold the same state.
+ * The replicated state machine: the result of applying the committed commands in order. Applying a
+ * command is deterministic, so voters that apply the same commands hold the same state.
  *
  * @public
  */
 export class ControlState {
-  readonly #answers: AnswerMemory
+  readonly #recentAnswers: RecentAnswers
   readonly #claims: ClaimTable
   readonly #audit: AuditRecord[]
-  /** Newest record of the chain that changed the settings. */
-  #lastChange: AuditRecord | undefined
+  /** Newest audit record that changed the settings. */
+  #lastSettingsChange: AuditRecord | undefined
   readonly #inForce = new Map<string, InForceAt>()
   #settings: SettingsState
   #voters: readonly Voter[]
@@ -71,20 +71,20 @@
 
   constructor(snapshot: ControlSnapshot, options = defaultControlStateOptions) {
     const { claimLimit: limit, claimRetentionMs: retentionMs, answerLimit } = options
-    this.#answers = new AnswerMemory(answerLimit, snapshot.recentAnswers)
+    this.#recentAnswers = new RecentAnswers(answerLimit, snapshot.recentAnswers)
     this.#claims = new ClaimTable({ limit, retentionMs }, snapshot.claims)
     this.#audit = [...snapshot.audit]
     this.#settings = snapshot.settings ?? create(SettingsStateSchema)
     this.#voters = snapshot.voters
     this.#routing = snapshot.routing ?? create(RoutingStateSchema)
-    for (const record of this.#audit) this.#index(record)
+    for (const record of this.#audit) this.#indexRecord(record)
   }
 
   get settings(): SettingsState {
     return this.#settings
   }
 
-  /** The operator's routing; version 0 until there is one. */
+  /** The routing set by operators; version 0 until there is one. */
   get routing(): RoutingState {
     return this.#routing
   }
@@ -93,7 +93,7 @@
     return this.#voters
   }
 
-  /** Things held, a measure of what a snapshot costs. */
+  /** Number of claims and audit records, a measure of the cost of a snapshot. */
   get size(): number {
     return this.#claims.size + this.#audit.length
   }
@@ -102,17 +102,17 @@
     return this.#claims.size
   }
 
-  /** The first answer to a command, as long as it is remembered. */
+  /** The first answer to a command, as long as it is kept. */
   answerTo(commandId: string): CommandAnswer | undefined {
-    return this.#answers.find(commandId)
+    return this.#recentAnswers.find(commandId)
   }
 
-  /** Audit records from a position on. */
+  /** At most `limit` audit records, starting at a position. */
   audit(from: number, limit: number): AuditRecord[] {
     return this.#audit.slice(from, from + limit)
   }
 
-  /** True when the record says already that the version took force there. */
+  /** True if an audit record already says that this or a later version took effect there. */
   isRecordedInForce({ instance, boot, version }: InForceAt): boolean {
     const recorded = this.#inForce.get(instance)
     if (recorded === undefined) return false
@@ -128,81 +128,93 @@
       settings: this.#settings,
       audit: [...this.#audit],
       claims: this.#claims.list(),
-      recentAnswers: this.#answers.list(),
+      recentAnswers: this.#recentAnswers.list(),
       voters: [...this.#voters],
       routing: this.#routing,
     })
   }
 
-  /** Applies a committed command and gives its answer; a repeated one changes nothing. */
+  /** Applies a committed command and returns its answer; a repeated command changes nothing. */
   apply(command: Command): CommandAnswer {
     const { commandId, change } = command
-    const first = this.#answers.find(commandId)
+    const first = this.#recentAnswers.find(commandId)
     if (first !== undefined) return first
     switch (change.case) {
       case 'setPreset':
-        return this.#remember(this.#setPreset(commandId, change.value))
+        return this.#recordAnswer(this.#setPreset(commandId, change.value))
       case 'definePreset':
-        return this.#remember(this.#definePreset(commandId, change.value))
+        return this.#recordAnswer(this.#definePreset(commandId, change.value))
       case 'changeVoters':
-        return this.#remember(this.#changeVoters(commandId, change.value))
+        return this.#recordAnswer(this.#changeVoters(commandId, change.value))
       case 'claimKeys': {
         const claims = change.value.claims.map((claim) => this.#claims.claim(claim))
-        const answer = this.#applied(commandId)
+        const answer = this.#appliedAnswer(commandId)
         answer.claims = claims
-        return claims.length === 0 ? answer : this.#remember(answer)
+        return claims.length === 0 ? answer : this.#recordAnswer(answer)
       }
       case 'endClaims':
         for (const end of change.value.ends) this.#claims.end(end)
-        return this.#applied(commandId)
+        return this.#appliedAnswer(commandId)
       case 'recordInForce':
         for (const inForce of change.value.instances) this.#recordInForce(commandId, inForce)
-        return this.#applied(commandId)
+        return this.#appliedAnswer(commandId)
       case 'putRouting':
-        return this.#remember(this.#putRouting(commandId, change.value))
+        return this.#recordAnswer(this.#putRouting(commandId, change.value))
       case 'noop':
-        return this.#applied(commandId)
+        return this.#appliedAnswer(commandId)
       case undefined:
-        return this.#answer(commandId, CommandResult.REJECTED, 'the command is empty')
+        return this.#makeAnswer(commandId, CommandResult.REJECTED, 'the command is empty')
       default:
         return exhaustive(change)
     }
   }
 
   #setPreset(commandId: string, change: SetPreset): CommandAnswer {
-    const refusal = this.#refuse(commandId, change)
+    const refusal = this.#checkChange(commandId, change)
     if (refusal !== undefined) return refusal
     if (!this.#settings.definitions.some(({ name }) => name === change.name)) {
-      return this.#answer(commandId, CommandResult.REJECTED, `no preset is named ${change.name}`)
+      return this.#makeAnswer(
+        commandId,
+        CommandResult.REJECTED,
+        `no preset is named ${change.name}`,
+      )
     }
     const { operator, reason, atMs } = change
     const from = this.#settings.preset
     const kind = AuditKind.PRESET_SET
     const content = { kind, operator, reason, from, to: change.name, atMs, commandId }
     this.#changeSettings(content, { preset: change.name })
-    return this.#applied(commandId)
+    return this.#appliedAnswer(commandId)
   }
 
   #definePreset(commandId: string, change: DefinePreset): CommandAnswer {
-    const refusal = this.#refuse(commandId, change)
+    const refusal = this.#checkChange(commandId, change)
     if (refusal !== undefined) return refusal
     const { definition, operator, reason, atMs } = change
     if (definition === undefined) {
-      return this.#answer(commandId, CommandResult.REJECTED, 'the definition is missing')
+      return this.#makeAnswer(commandId, CommandResult.REJECTED, 'the definition is missing')
     }
     const valid = validatePreset(definition)
-    if (valid.err) return this.#answer(commandId, CommandResult.REJECTED, valid.val)
+    if (valid.err) return this.#makeAnswer(commandId, CommandResult.REJECTED, valid.val)
     const { definitions } = this.#settings
     const old = definitions.find(({ name }) => name === definition.name)
     const rest = definitions.filter((other) => other !== old)
-    const from = old === undefined ? '' : describe(old)
+    const from = old === undefined ? '' : formatDefinition(old)
     const kind = AuditKind.PRESET_DEFINED
-    const content = { kind, operator, reason, from, to: describe(definition), atMs, commandId }
+    const content = {
+      kind,
+      operator,
+      reason,
+      from,
+      to: formatDefinition(definition),
+      atMs,
+      commandId,
+    }
     this.#changeSettings(content, { definitions: [...rest, definition] })
-    return this.#applied(commandId)
+    return this.#appliedAnswer(commandId)
   }
 
-  /** Operators race and resend, so a version that is overtaken is no error: it changes nothing. */
+  /** Operators race and resend, so an outdated version is not an error: it changes nothing. */
   #putRouting(commandId: string, { version, document, atMs }: PutRouting): CommandAnswer {
     const held = this.#routing.version
     if (version > held) {
@@ -210,43 +222,54 @@
       const { version: settingsVersion } = this.#settings
       const from = `routing ${held}`
       const to = `routing ${version}`
-      this.#record({ kind, from, to, atMs, commandId, version: settingsVersion })
+      this.#appendRecord({ kind, from, to, atMs, commandId, version: settingsVersion })
       this.#routing = create(RoutingStateSchema, { version, document })
     }
-    return this.#applied(commandId)
+    return this.#appliedAnswer(commandId)
   }
 
   #changeVoters(commandId: string, change: ChangeVoters): CommandAnswer {
     const changed = changeMembers(this.#voters, change)
-    if (changed.err) return this.#answer(commandId, CommandResult.REJECTED, changed.val)
+    if (changed.err) return this.#makeAnswer(commandId, CommandResult.REJECTED, changed.val)
     const { operator, reason, atMs, instance, diskId } = change
     const to = `${VoterChangeKind[change.kind].toLowerCase()} ${diskId} on ${instance}`
     const kind = AuditKind.VOTERS_CHANGED
-    const from = this.#voters.map(describeVoter).join(' ')
+    const from = this.#voters.map(formatVoter).join(' ')
     const { version } = this.#settings
-    this.#record({ kind, operator, reason, from, to, atMs, commandId, instance, version })
+    this.#appendRecord({ kind, operator, reason, from, to, atMs, commandId, instance, version })
     this.#voters = changed.val
-    return this.#applied(commandId)
+    return this.#appliedAnswer(commandId)
   }
 
   #recordInForce(commandId: string, inForce: InForceAt): void {
     if (this.isRecordedInForce(inForce)) return
     const { instance, boot, version, atMs } = inForce
     const kind = AuditKind.IN_FORCE
-    this.#record({ kind, instance, boot, version, atMs, commandId })
+    this.#appendRecord({ kind, instance, boot, version, atMs, commandId })
   }
 
-  /** Refuses what names nobody, gives no reason, or starts from a version that is not the newest. */
-  #refuse(commandId: string, change: SetPreset | DefinePreset): CommandAnswer | undefined {
+  /**
+   * Returns a rejection if operator or reason is missing, or a conflict if the change starts from a
+   * version that is not the newest; undefined if the change may be made.
+   */
+  #checkChange(commandId: string, change: SetPreset | DefinePreset): CommandAnswer | undefined {
     if (change.operator === '' || change.reason === '') {
-      return this.#answer(commandId, CommandResult.REJECTED, 'operator and reason must be given')
+      return this.#makeAnswer(
+        commandId,
+        CommandResult.REJECTED,
+        'operator and reason must be given',
+      )
     }
     if (change.fromVersion === this.#settings.version) return undefined
-    return this.#answer(commandId, CommandResult.CONFLICT, this.#describeWinner(change.fromVersion))
+    return this.#makeAnswer(
+      commandId,
+      CommandResult.CONFLICT,
+      this.#describeConflict(change.fromVersion),
+    )
   }
 
-  #describeWinner(fromVersion: number): string {
-    const winner = this.#lastChange
+  #describeConflict(fromVersion: number): string {
+    const winner = this.#lastSettingsChange
     const by = winner === undefined ? '' : `, made by ${winner.operator} (${winner.commandId})`
     const { version, preset } = this.#settings
     return `changes from version ${fromVersion}, but version ${version} is the newest${by}; preset ${preset}`
@@ -257,22 +280,22 @@
     change: { preset?: string; definitions?: PresetDefinition[] },
   ): void {
     const version = this.#settings.version + 1
-    const { hash: auditHash } = this.#record({ ...content, version })
+    const { hash: auditHash } = this.#appendRecord({ ...content, version })
     const { preset, definitions } = this.#settings
     const fields = { preset, definitions, ...change, version, auditHash }
     this.#settings = create(SettingsStateSchema, fields)
   }
 
-  #record(content: AuditContent): AuditRecord {
+  #appendRecord(content: AuditContent): AuditRecord {
     const record = chainRecord(this.#audit.at(-1), content)
     this.#audit.push(record)
-    this.#index(record)
+    this.#indexRecord(record)
     return record
   }
 
-  #index(record: AuditRecord): void {
+  #indexRecord(record: AuditRecord): void {
     if (record.kind === AuditKind.PRESET_SET || record.kind === AuditKind.PRESET_DEFINED) {
-      this.#lastChange = record
+      this.#lastSettingsChange = record
     }
     if (record.kind !== AuditKind.IN_FORCE) return
     const { instance, boot, version, atMs } = record
@@ -285,26 +308,26 @@
     })
   }
 
-  #remember(answer: CommandAnswer): CommandAnswer {
-    this.#answers.remember(answer)
+  #recordAnswer(answer: CommandAnswer): CommandAnswer {
+    this.#recentAnswers.add(answer)
     return answer
   }
 
-  #applied(commandId: string): CommandAnswer {
-    return this.#answer(commandId, CommandResult.APPLIED, '')
+  #appliedAnswer(commandId: string): CommandAnswer {
+    return this.#makeAnswer(commandId, CommandResult.APPLIED, '')
   }
 
-  #answer(commandId: string, result: CommandResult, detail: string): CommandAnswer {
+  #makeAnswer(commandId: string, result: CommandResult, detail: string): CommandAnswer {
     const { version } = this.#settings
     return create(CommandAnswerSchema, { commandId, result, version, detail })
   }
 }
 
-/** A definition as auditors read it in the record. */
-function describe(definition: PresetDefinition): string {
+/** A definition in the form in which it is stored in audit records. */
+function formatDefinition(definition: PresetDefinition): string {
   return JSON.stringify(toJson(PresetDefinitionSchema, definition))
 }
 
-function describeVoter({ instance, diskId, learner }: Voter): string {
+function formatVoter({ instance, diskId, learner }: Voter): string {
   return `${diskId}@${instance}${learner ? '(learner)' : ''}`
 }
--- a/packages/control/src/lib/state/auditChain.ts
+++ b/packages/control/src/lib/state/auditChain.ts
@@ -6,27 +6,27 @@
 import type { Result } from 'ts-results'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** Version of the canonical encoding below; part of what is hashed. */
+/** Version of the canonical encoding below; part of the hashed data. */
 const ENCODING_VERSION = 1
 
 /** `previous_hash` of the first record. @public */
 export const FIRST_PREVIOUS_HASH = '0'.repeat(64)
 
-/** What the record says, without its place in the chain. @internal */
+/** Content of an audit record, without its position and hashes in the chain. @internal */
 export type AuditContent = Omit<
   MessageInitShape<typeof AuditRecordSchema>,
   '$typeName' | '$unknown' | 'position' | 'previousHash' | 'hash'
 >
 
-/** Where and why a chain does not hold. @public */
+/** Position and reason of the first fault in an audit chain. @public */
 export interface AuditFault {
   readonly position: number
   readonly reason: string
 }
 
 /**
- * SHA-256, in hexadecimal, over a JSON array of all fields but `hash` in the order of the message.
- * A JSON array of texts and numbers has one encoding only, and an auditor can rebuild it.
+ * SHA-256, in hexadecimal, over a JSON array of all fields except `hash`, in the order of the
+ * message. A JSON array of strings and numbers has a single encoding, which an auditor can rebuild.
  *
  * @public
  */
@@ -49,7 +49,7 @@
   return createHash('sha256').update(JSON.stringify(fields)).digest('hex')
 }
 
-/** Makes the record that follows the given one. @internal */
+/** Creates the record that follows the given one in the chain. @internal */
 export function chainRecord(previous: AuditRecord | undefined, content: AuditContent): AuditRecord {
   const record = create(AuditRecordSchema, content)
   record.position = previous === undefined ? 0 : previous.position + 1
@@ -59,11 +59,11 @@
 }
 
 /**
- * Checks that no record was altered, left out, added or moved.
+ * Checks that no record was altered, removed, inserted or moved.
  *
- * A page that starts later than position 0 is checked from its first record's `previous_hash` on.
- * Cutting off the end can't be seen from records alone; give `settings` to check that the record
- * which made the newest version is there.
+ * A page that starts after position 0 is checked from the `previous_hash` of its first record on.
+ * Truncation at the end cannot be detected from the records alone; pass `settings` to check that
+ * the record of the newest settings version is present.
  *
  * @public
  */
--- a/packages/control/src/lib/state/genesis.ts
+++ b/packages/control/src/lib/state/genesis.ts
@@ -5,15 +5,15 @@
 import { SNAPSHOT_SCHEMA_VERSION } from './ControlState'
 import { PresetName, shippedPresets } from './presets'
 
-/** Version of the settings after the first start. */
+/** Settings version of the initial state. */
 const FIRST_VERSION = 1
 
-/** Disk identity of a voter of the first set; all of them derive it without talking. @public */
+/** Disk id of an initial voter; each voter derives it without communication. @public */
 export function initialDiskId(instance: string, clusterId: string): string {
   return `${instance}-${clusterId}`
 }
 
-/** The voters of the first start, in an order that all agree on. @internal */
+/** The initial voters, in the same order on every instance. @internal */
 export function initialVoters(clusterId: string, instances: readonly string[]): Voter[] {
   return [...new Set(instances)].sort().map((instance) => {
     const diskId = initialDiskId(instance, clusterId)
@@ -21,7 +21,7 @@
   })
 }
 
-/** The state before the first entry; it depends on nothing but the arguments. @internal */
+/** The state before the first log entry; it depends only on the arguments. @internal */
 export function genesisSnapshot(clusterId: string, instances: readonly string[]): ControlSnapshot {
   const voters = initialVoters(clusterId, instances)
   const first = chainRecord(undefined, {
--- a/packages/control/src/lib/state/presetInForceAt.ts
+++ b/packages/control/src/lib/state/presetInForceAt.ts
@@ -1,26 +1,26 @@
 import { AuditKind } from '@cherryhitch/protocol'
 import type { AuditRecord } from '@cherryhitch/protocol'
-import { EVERY_INSTANCE } from '../voter/SettingsSpread'
+import { EVERY_INSTANCE } from '../voter/SettingsRollout'
 
-/** What the record says was in force at an instance at a time. @public */
+/** The preset that was in force at an instance at a time, according to the audit log. @public */
 export interface PresetInForce {
   readonly version: number
   readonly preset: string
-  /** When it took force there, in milliseconds since the epoch, by the instance's clock. */
+  /** When it took effect there, in milliseconds since the epoch, by the instance's clock. */
   readonly since: number
   /**
-   * False when a newer version counted as in force already: the instance was cut off, its lease
-   * had run out, and it told so in its answers.
+   * False if a newer version already counted as in force everywhere: the instance was partitioned,
+   * its lease had expired, and its answers said that its settings were not confirmed.
    */
   readonly confirmed: boolean
 }
 
 /**
- * Reads from the audit record which preset was in force at an instance at a time; for
- * `EVERY_INSTANCE`, which one counted as in force for the whole system.
+ * Finds in the audit log which preset was in force at an instance at a time; for `EVERY_INSTANCE`,
+ * which preset counted as in force for the whole system.
  *
- * @param records - the whole record, in order
- * @returns undefined when the record does not say, as before the instance's first confirmation
+ * @param records - all audit records, in order
+ * @returns undefined if no record applies, as before the first confirmation of the instance
  * @public
  */
 export function presetInForceAt(
@@ -36,7 +36,9 @@
   return { version, preset: presetOf(records, version), since, confirmed: version >= everywhere }
 }
 
-/** Of two records with the same version the first one counts, whatever the clocks say. */
+/**
+ * The record of the highest version; of equal versions the first record, whatever the clocks say.
+ */
 function newest(records: readonly AuditRecord[], instance: string): AuditRecord | undefined {
   let found: AuditRecord | undefined
   for (const record of records) {
@@ -49,8 +51,8 @@
 function presetOf(records: readonly AuditRecord[], version: number): string {
   const sets = records.filter((record) => {
     const { kind } = record
-    const names = kind === AuditKind.PRESET_SET || kind === AuditKind.INITIALIZED
-    return names && record.version <= version
+    const setsPreset = kind === AuditKind.PRESET_SET || kind === AuditKind.INITIALIZED
+    return setsPreset && record.version <= version
   })
   return sets.at(-1)?.to ?? ''
 }
--- a/packages/control/src/lib/state/presets.ts
+++ b/packages/control/src/lib/state/presets.ts
@@ -28,7 +28,7 @@
 
 /**
  * The presets that ship with the program; the first one is in force after the first start.
- * Why these limits: `docs/design/presets.md`.
+ * `docs/design/presets.md` gives the reasons for the limits.
  *
  * @public
  */
@@ -77,7 +77,7 @@
   return Number.isFinite(value) && value >= low && value <= high
 }
 
-/** Says what is wrong with a definition; only a whole and sensible one may be stored. @public */
+/** Validates a preset definition; only a valid one may be stored. @public */
 export function validatePreset(definition: PresetDefinition): Result<void, string> {
   const checks: [boolean, string][] = [
     [isValidName(definition.name), 'name is not valid'],
@@ -94,6 +94,6 @@
     [definition.healthRule !== HealthRule.UNSPECIFIED, 'health rule is missing'],
     [definition.admissionRule !== AdmissionRule.UNSPECIFIED, 'admission rule is missing'],
   ]
-  const failed = checks.find(([holds]) => !holds)
+  const failed = checks.find(([isValid]) => !isValid)
   return failed === undefined ? Ok.EMPTY : Err(`preset ${definition.name}: ${failed[1]}`)
 }
--- a/packages/control/src/lib/state/voterSet.ts
+++ b/packages/control/src/lib/state/voterSet.ts
@@ -5,12 +5,12 @@
 import type { Result } from 'ts-results'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** How many voters of a set make a majority; learners never count. @internal */
+/** Number of voters that form a majority of a set; learners never count. @internal */
 export function majorityOf(members: readonly Voter[]): number {
   return Math.floor(members.filter((member) => !member.learner).length / 2) + 1
 }
 
-/** The set after the change, or why it can't be made. @internal */
+/** Returns the set after the change, or the reason why the change is not possible. @internal */
 export function changeMembers(
   members: readonly Voter[],
   change: ChangeVoters,
--- a/packages/control/src/lib/store/VoterStore.test.ts
+++ b/packages/control/src/lib/store/VoterStore.test.ts
@@ -9,7 +9,7 @@
 
 const presets = Object.values(PresetName)
 
-/** Kills the voters at a random moment of the next change; it may or may not be committed. */
+/** Kills the voters at a random time during a change, which may or may not be committed. */
 function killDuring(cluster: SimulatedCluster, voters: readonly string[]): void {
   cluster.run(cluster.random.between(0, 40))
   for (const voter of voters) cluster.crash(voter)
@@ -20,7 +20,7 @@
 
 describe('recovery', () => {
   for (const voters of [['a'], ['a', 'b', 'c']]) {
-    it(`after 500 changes with kills, of ${voters.length} voter(s), is exact`, () => {
+    it(`restores all of 500 changes with ${voters.length} voter(s) killed at random`, () => {
       const limits = { snapshotEvery: 60, entriesKept: 10 }
       const cluster = simulate({ voters, seed: 11, limits })
       let kills = 0
--- a/packages/control/src/lib/store/VoterStore.ts
+++ b/packages/control/src/lib/store/VoterStore.ts
@@ -18,7 +18,7 @@
 
 const files = { hardState: 'control-vote', snapshot: 'control-snapshot', log: 'control-log' }
 
-/** Ordered migrations of each stored record; none yet, so all are at version 1. */
+/** Migrations of each stored record, in order; there are none yet, so all are at version 1. */
 const migrations: Record<keyof typeof files, readonly Migration[]> = {
   hardState: [],
   snapshot: [],
@@ -26,7 +26,7 @@
 }
 
 /**
- * A voter's term and vote, snapshot and log on a disk.
+ * Stores a voter's term and vote, its snapshot and its log on a disk.
  *
  * @internal
  */
@@ -49,7 +49,7 @@
     this.#firstIndex = firstIndex
   }
 
-  /** Reads what the disk holds; undefined parts mean that it holds no voter yet. */
+  /** Reads the stored voter; `stored` is undefined if the disk holds none yet. */
   static open(disk: Disk): Effect.Effect<OpenedStore, ControlError> {
     return Effect.mapError(openStore(disk), asControlError)
   }
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Syncs a batch. The order matters for a crash in between: the vote before all; the snapshot
-   * before the entries that it replaces go.
+   * Writes and syncs a batch. The order keeps the disk consistent if a crash happens in between:
+   * the vote is written first, and the snapshot before the entries that it covers are deleted.
    */
   persist(batch: PersistBatch): Effect.Effect<void, ControlError> {
     const { hardState, snapshot, truncateAfter, entries } = batch
@@ -75,11 +75,11 @@
     return Effect.mapError(steps, asControlError)
   }
 
-  /** The first records of a voter: its state and its identity. @internal */
+  /** Writes the first records of a voter: its state and its identity. @internal */
   initialize(hardState: HardState, snapshot?: ControlSnapshot): Effect.Effect<void, ControlError> {
     const steps = Effect.gen({ self: this }, function* () {
       if (snapshot !== undefined) yield* this.#writeSnapshot(snapshot)
-      // The identity comes last: a folder without one holds no voter.
+      // The identity is written last, since a folder without an identity holds no voter.
       yield* this.writeHardState(hardState)
     })
     return Effect.mapError(steps, asControlError)
@@ -127,7 +127,7 @@
 /** @internal */
 export interface OpenedStore {
   readonly store: VoterStore
-  /** Undefined when no voter was ever started here. */
+  /** Undefined if the disk holds no voter yet. */
   readonly stored: StoredVoter | undefined
 }
 
@@ -149,16 +149,20 @@
     const store = VoterStore.make({ hardState, snapshot, log, firstIndex })
     if (vote === undefined) return { store, stored: undefined }
     const gap = findGap(state, all)
-    if (gap !== undefined) return yield* damaged(gap)
+    if (gap !== undefined) return yield* damagedLog(gap)
     const entries = entriesAfter(state, all)
-    // What a crash left behind a newer snapshot goes now, so that file and memory agree.
+    // Entries that a crash left behind after a newer snapshot are deleted, so that the file and
+    // memory agree.
     if (entries.length === 0) yield* log.truncateAfter(0)
     const { diskId, term, votedFor } = vote
     return { store, stored: { diskId, term, votedFor, snapshot: state, entries } }
   })
 }
 
-/** The entries that go on from the snapshot; those that contradict it are left overs of a crash. */
+/**
+ * The entries that follow the snapshot. Entries that contradict the snapshot are leftovers of a
+ * crash and are skipped.
+ */
 function entriesAfter(
   snapshot: ControlSnapshot | undefined,
   entries: readonly LogEntry[],
@@ -170,7 +174,7 @@
   return entries.filter(({ index }) => index > lastIndex)
 }
 
-/** Why the log can't go on from the snapshot; it is then better not to start. */
+/** Why the log does not continue from the snapshot; the voter must not start in that case. */
 function findGap(
   snapshot: ControlSnapshot | undefined,
   entries: readonly LogEntry[],
@@ -182,7 +186,7 @@
   return `the log starts at entry ${first.index}, the snapshot ends at ${snapshot.lastIndex}`
 }
 
-function damaged(detail: string): StorageError {
+function damagedLog(detail: string): StorageError {
   return new StorageError({ kind: StorageErrorKind.Damaged, file: files.log, detail })
 }
 
--- a/packages/control/src/lib/store/encodeSnapshot.test.ts
+++ b/packages/control/src/lib/store/encodeSnapshot.test.ts
@@ -8,7 +8,7 @@
 import { claimKeys, keyClaim, setPreset } from '../testing/commands'
 import { encodeSnapshot } from './encodeSnapshot'
 
-it('a snapshot that was encoded in slices is read as it was', () => {
+it('a snapshot encoded in slices is decoded unchanged', () => {
   const state = new ControlState(genesisSnapshot('test', ['a']))
   for (let at = 0; at < 450; at++) {
     state.apply(setPreset(`c${at}`, 'peak', at + 1))
--- a/packages/control/src/lib/store/encodeSnapshot.ts
+++ b/packages/control/src/lib/store/encodeSnapshot.ts
@@ -3,12 +3,13 @@
 import type { ControlSnapshot } from '@cherryhitch/protocol'
 import { Effect } from 'effect'
 
-/** Records encoded in one go: some milliseconds, so that heartbeats are never late for it. */
+/** Records per slice: they take a few milliseconds, so that encoding never delays a heartbeat. */
 const RECORDS_PER_SLICE = 200
 
 /**
- * Encodes a snapshot slice by slice and lets other fibers run in between. One protobuf message
- * may be cut between the items of its lists: the parts put together are the message.
+ * Encodes a snapshot in slices and yields to other fibers in between. The encoding of a protobuf
+ * message may be split between items of its repeated fields: the concatenated parts are the
+ * message.
  *
  * @internal
  */
@@ -26,14 +27,15 @@
 function* slicesOf(snapshot: ControlSnapshot): Generator<ControlSnapshot> {
   const { audit, claims, recentAnswers } = snapshot
   yield { ...snapshot, audit: [], claims: [], recentAnswers: [] }
-  for (const slice of cut(audit)) yield create(ControlSnapshotSchema, { audit: slice })
-  for (const slice of cut(claims)) yield create(ControlSnapshotSchema, { claims: slice })
-  for (const slice of cut(recentAnswers)) {
+  for (const slice of slicesOfRecords(audit)) yield create(ControlSnapshotSchema, { audit: slice })
+  for (const slice of slicesOfRecords(claims))
+    yield create(ControlSnapshotSchema, { claims: slice })
+  for (const slice of slicesOfRecords(recentAnswers)) {
     yield create(ControlSnapshotSchema, { recentAnswers: slice })
   }
 }
 
-function* cut<T>(items: readonly T[]): Generator<T[]> {
+function* slicesOfRecords<T>(items: readonly T[]): Generator<T[]> {
   for (let at = 0; at < items.length; at += RECORDS_PER_SLICE) {
     yield items.slice(at, at + RECORDS_PER_SLICE)
   }
--- a/packages/control/src/lib/store/initVoters.ts
+++ b/packages/control/src/lib/store/initVoters.ts
@@ -13,19 +13,19 @@
 
 /** @public */
 export interface InitVotersOptions {
-  /** The instance whose folder this is; it has to be one of the voters. */
+  /** The instance that owns the folder; it has to be one of the voters. */
   readonly instance: string
-  /** Chosen by the operator, the same for all voters, never used before. */
+  /** Chosen by the operator: the same for all voters, and never used before. */
   readonly clusterId: string
-  /** Instances of the first set of voters, in any order. */
+  /** Instances of the initial voters, in any order. */
   readonly voters: readonly string[]
 }
 
 /**
- * Makes a voter of the first set on an empty folder; `cherryhitch control init`. It is run once on
- * each of the first voters, with the same arguments. Answers with the disk's id.
+ * Creates an initial voter in an empty folder, for `cherryhitch control init`. It is run once on
+ * each of the initial voters, with the same arguments. Returns the id of the disk.
  *
- * A wiped folder must never be initialized again: it starts as a learner under a new id.
+ * A wiped folder must never be initialized again: it has to start as a learner under a new id.
  *
  * @public
  */
@@ -35,9 +35,9 @@
 ): Effect.Effect<string, ControlError> {
   return Effect.gen(function* () {
     const { instance, clusterId, voters } = options
-    const fault = findFault(options)
-    if (fault !== undefined) {
-      return yield* new ControlError({ kind: ControlErrorKind.InvalidMembers, detail: fault })
+    const problem = validateOptions(options)
+    if (problem !== undefined) {
+      return yield* new ControlError({ kind: ControlErrorKind.InvalidMembers, detail: problem })
     }
     const { store, stored } = yield* VoterStore.open(disk)
     if (stored !== undefined) {
@@ -45,15 +45,15 @@
       return yield* new ControlError({ kind: ControlErrorKind.AlreadyInitialized, detail })
     }
     const diskId = initialDiskId(instance, clusterId)
-    const vote = create(HardStateSchema, { schemaVersion: HARD_STATE_VERSION, diskId })
-    yield* store.initialize(vote, genesisSnapshot(clusterId, voters))
+    const hardState = create(HardStateSchema, { schemaVersion: HARD_STATE_VERSION, diskId })
+    yield* store.initialize(hardState, genesisSnapshot(clusterId, voters))
     return diskId
   })
 }
 
 /**
- * Opens the voter of a folder. A folder that holds none gets a new identity, under which it waits
- * as a learner until an operator adds it.
+ * Opens the voter stored in a folder. An empty folder gets a new identity, under which the voter
+ * waits until an operator adds it as a learner.
  *
  * @internal
  */
@@ -66,14 +66,14 @@
     const opened = yield* VoterStore.open(disk)
     if (opened.stored !== undefined) return { store: opened.store, stored: opened.stored }
     const diskId = `${instance}-${makeId()}`
-    const vote = create(HardStateSchema, { schemaVersion: HARD_STATE_VERSION, diskId })
-    yield* opened.store.initialize(vote)
+    const hardState = create(HardStateSchema, { schemaVersion: HARD_STATE_VERSION, diskId })
+    yield* opened.store.initialize(hardState)
     const stored = { diskId, term: 0, votedFor: '', snapshot: undefined, entries: [] }
     return { store: opened.store, stored }
   })
 }
 
-function findFault({ instance, clusterId, voters }: InitVotersOptions): string | undefined {
+function validateOptions({ instance, clusterId, voters }: InitVotersOptions): string | undefined {
   if (!isValidName(clusterId)) return 'the cluster id is not a valid name'
   if (!voters.includes(instance)) return `instance ${instance} is not among the voters`
   if (new Set(voters).size !== voters.length) return 'a voter is named twice'
--- a/packages/control/src/lib/util/SeededRandom.ts
+++ b/packages/control/src/lib/util/SeededRandom.ts
@@ -1,6 +1,10 @@
 import { seededRandom } from '@cherryhitch/model'
 
-/** What a run draws from a seeded generator, so that runs with one seed repeat. @internal */
+/**
+ * Random values from a seeded generator, so that runs with the same seed are repeatable.
+ *
+ * @internal
+ */
 export class SeededRandom {
   /** The next number from 0 (inclusive) to 1 (exclusive). */
   readonly next: () => number
@@ -19,10 +23,10 @@
     return this.next() < probability
   }
 
-  /** One of the items. */
+  /** A random item of the list. */
   pick<T>(items: readonly T[]): T {
     const item = items[Math.floor(this.next() * items.length)]
-    if (item === undefined) throw new Error('nothing to pick from')
+    if (item === undefined) throw new Error('cannot pick from an empty list')
     return item
   }
 }
--- a/packages/control/src/lib/voter/ControlAction.ts
+++ b/packages/control/src/lib/voter/ControlAction.ts
@@ -9,7 +9,7 @@
   SettingsState,
 } from '@cherryhitch/protocol'
 
-/** What a voter asks its shell to do. @public */
+/** Kinds of actions that a voter asks its host to perform. @public */
 export enum ControlActionKind {
   Send = 'send',
   Persist = 'persist',
@@ -20,7 +20,7 @@
   Log = 'log',
 }
 
-/** What a voter is in its term. @public */
+/** Role of a voter in its current term. @public */
 export enum VoterRole {
   Follower = 'follower',
   PreCandidate = 'pre_candidate',
@@ -29,20 +29,21 @@
 }
 
 /**
- * What has to be synced, as one unit: one event follows for the whole of it. It is carried out in
- * the order of the fields, so that a crash in between leaves a state that a restart can go on from.
+ * Writes that are synced as one unit: a single event reports the result for the whole batch. The
+ * writes are carried out in the order of the fields, so that a crash in between leaves a state from
+ * which a restart can continue.
  *
  * @public
  */
 export interface PersistBatch {
-  /** Rises with each batch; only one is out at a time. */
+  /** Increases with each batch; only one batch is in flight at a time. */
   readonly id: number
   readonly hardState: HardState | undefined
-  /** Replaces the stored snapshot; entries that it covers may go. */
+  /** Replaces the stored snapshot; entries that it covers may be deleted. */
   readonly snapshot: ControlSnapshot | undefined
-  /** Entries after this index go. */
+  /** Entries after this index are deleted. */
   readonly truncateAfter: number | undefined
-  /** Added at the end of the log. */
+  /** Entries to append to the log. */
   readonly entries: readonly LogEntry[]
 }
 
@@ -50,7 +51,7 @@
 export type ControlAction =
   | SendAction
   | { readonly kind: ControlActionKind.Persist; readonly batch: PersistBatch }
-  /** A committed command was applied here. */
+  /** A committed command was applied at this voter. */
   | {
       readonly kind: ControlActionKind.Applied
       readonly index: number
@@ -58,20 +59,20 @@
       readonly command: Command
       readonly answer: CommandAnswer
     }
-  /** A newer version was committed, as far as this voter knows. */
+  /** A newer settings version is committed, as far as this voter knows. */
   | { readonly kind: ControlActionKind.SettingsChanged; readonly settings: SettingsState }
-  /** A routing of a higher version was committed, as far as this voter knows. */
+  /** A higher version of the routing is committed, as far as this voter knows. */
   | { readonly kind: ControlActionKind.RoutingChanged; readonly routing: RoutingState }
   | {
       readonly kind: ControlActionKind.RoleChanged
       readonly role: VoterRole
       readonly term: number
-      /** Instance that leads, empty while it is unknown. */
+      /** The leader's instance; empty while no leader is known. */
       readonly leader: string
     }
   | { readonly kind: ControlActionKind.Log; readonly line: string }
 
-/** Messages to the own instance have to be delivered too. @public */
+/** A message to an instance. Messages to the own instance have to be delivered too. @public */
 export interface SendAction {
   readonly kind: ControlActionKind.Send
   readonly to: string
--- a/packages/control/src/lib/voter/ControlEvent.ts
+++ b/packages/control/src/lib/voter/ControlEvent.ts
@@ -1,11 +1,11 @@
 import type { EnvelopeBody } from '@cherryhitch/protocol'
 
-/** What a voter is told. @public */
+/** Kinds of input events of a voter. @public */
 export enum ControlEventKind {
   Received = 'received',
   Persisted = 'persisted',
   PersistFailed = 'persist_failed',
-  HandOver = 'hand_over',
+  TransferLeadership = 'hand_over',
 }
 
 /** @public */
@@ -17,9 +17,9 @@
       readonly boot: number
       readonly body: EnvelopeBody
     }
-  /** Everything of the batch is synced. */
+  /** All writes of the batch are synced. */
   | { readonly kind: ControlEventKind.Persisted; readonly id: number }
-  /** The disk failed; what it holds is unknown until the next start. */
+  /** A disk write failed; the contents of the disk are unknown until the next start. */
   | { readonly kind: ControlEventKind.PersistFailed; readonly id: number; readonly reason: string }
-  /** The process is about to end: another voter is to lead, if this one does. */
-  | { readonly kind: ControlEventKind.HandOver }
+  /** The process is about to stop: if this voter leads, another one is to take over. */
+  | { readonly kind: ControlEventKind.TransferLeadership }
--- a/packages/control/src/lib/voter/Election.ts
+++ b/packages/control/src/lib/voter/Election.ts
@@ -3,88 +3,94 @@
 import { VoterRole } from './ControlAction'
 import type { VoterCore } from './VoterCore'
 
-/** Decides when to ask for votes, and which to give. @internal */
+/** Decides when to start an election, and answers vote requests of other candidates. @internal */
 export class Election {
   readonly #core: VoterCore
   readonly #random: SeededRandom
   readonly #votes = new Set<string>()
-  #dueAt: number | undefined
-  #heardLeaderAt = -Infinity
+  #electionDueAt: number | undefined
+  #lastLeaderContactAt = -Infinity
 
   constructor(core: VoterCore) {
     this.#core = core
     this.#random = new SeededRandom(core.config.seed)
   }
 
-  /** Asks for an election when no leader was heard of for too long. */
+  /** Starts a pre-vote when the election timeout has passed without contact from a leader. */
   tick(now: number): void {
-    if (this.#dueAt === undefined) this.#startTimer(now)
+    if (this.#electionDueAt === undefined) this.#startTimer(now)
     const { role, isVoter, persist } = this.#core
     if (role === VoterRole.Leader || persist.failed) return
-    if (now < (this.#dueAt ?? Infinity)) return
+    if (now < (this.#electionDueAt ?? Infinity)) return
     this.#restartTimer(now)
-    if (isVoter) this.#askBeforehand()
+    if (isVoter) this.#startPreVote()
     else this.#core.setRole(VoterRole.Follower, '')
   }
 
-  /** A leader of the current term was heard. */
-  noteLeader(now: number): void {
-    this.#heardLeaderAt = now
+  /** Called on each message from the leader of the current term. */
+  onLeaderContact(now: number): void {
+    this.#lastLeaderContactAt = now
     this.#restartTimer(now)
   }
 
-  /** The own leadership ended: others are to be heard out first. */
-  noteStepDown(now: number): void {
-    this.#heardLeaderAt = -Infinity
+  /**
+   * Called when this voter stops leading: it may grant pre-votes at once, and waits a full election
+   * timeout before it starts its own.
+   */
+  onStepDown(now: number): void {
+    this.#lastLeaderContactAt = -Infinity
     this.#restartTimer(now)
   }
 
-  /** The leader is about to end and asks this voter to follow it without waiting. */
-  startAtOnce(now: number): void {
+  /**
+   * Starts an election without waiting for the timeout, at the request of a leader that is
+   * stopping.
+   */
+  startImmediately(now: number): void {
     this.#restartTimer(now)
-    if (this.#core.isVoter && !this.#core.persist.failed) this.#ask()
+    if (this.#core.isVoter && !this.#core.persist.failed) this.#startElection()
   }
 
-  /** True for a request that must not even be noted, so that a fresh voter stays fresh. */
-  ignores(req: VoteRequest): boolean {
+  /** True for a request that must not change any state here, so that `isFresh` stays true. */
+  mustIgnore(req: VoteRequest): boolean {
     return this.#core.persist.failed || (this.#core.isFresh && req.lastIndex > 0)
   }
 
   onRequest(now: number, from: string, req: VoteRequest): void {
-    if (req.preVote) this.#answerBeforehand(now, from, req)
-    else this.#answer(now, from, req)
+    if (req.preVote) this.#answerPreVote(now, from, req)
+    else this.#answerVote(now, from, req)
   }
 
-  /** True when the reply won the election. */
+  /** Counts the vote; true if it completes the majority that wins the election. */
   onReply(reply: VoteReply): boolean {
     const { role, term } = this.#core
-    const awaited = reply.preVote ? VoterRole.PreCandidate : VoterRole.Candidate
-    const wantedTerm = reply.preVote ? term + 1 : term
-    if (role !== awaited || !reply.granted || reply.term !== wantedTerm) return false
-    if (!this.#core.counts(reply.diskId)) return false
+    const expectedRole = reply.preVote ? VoterRole.PreCandidate : VoterRole.Candidate
+    const expectedTerm = reply.preVote ? term + 1 : term
+    if (role !== expectedRole || !reply.granted || reply.term !== expectedTerm) return false
+    if (!this.#core.hasVote(reply.diskId)) return false
     this.#votes.add(reply.diskId)
     if (this.#votes.size < this.#core.majority) return false
     if (!reply.preVote) return true
-    this.#ask()
+    this.#startElection()
     return false
   }
 
-  /** A pre-vote changes nothing anywhere, so a voter that comes back disturbs nobody. */
-  #askBeforehand(): void {
+  /** A pre-vote changes no state, so a voter that returns from a partition disrupts no leader. */
+  #startPreVote(): void {
     const core = this.#core
     core.setRole(VoterRole.PreCandidate, '')
     this.#votes.clear()
     this.#sendRequests(core.term + 1, true)
-    // The own vote goes the same way as the others, for a set of one voter.
+    // The own vote goes through the same path, so that a set of a single voter works too.
     const reply = { term: core.term + 1, diskId: core.diskId, granted: true, preVote: true }
     core.send(core.config.instance, { case: 'voteReply', value: reply })
   }
 
-  #ask(): void {
+  #startElection(): void {
     const core = this.#core
     core.setTerm(core.term + 1, core.diskId)
     core.setRole(VoterRole.Candidate, '')
-    core.say(`asks for votes in term ${core.term}`)
+    core.logLine(`starting election for term ${core.term}`)
     this.#votes.clear()
     this.#sendRequests(core.term, false)
     const reply = { term: core.term, diskId: core.diskId, granted: true, preVote: false }
@@ -96,42 +102,42 @@
     const { lastIndex, lastTerm } = log
     const value = { term, diskId, lastIndex, lastTerm, preVote }
     for (const member of members) {
-      if (member.diskId === diskId || !this.#core.rules.counts(member)) continue
+      if (member.diskId === diskId || !this.#core.rules.hasVote(member)) continue
       this.#core.sendWhenDurable(member.instance, { case: 'voteRequest', value: value })
     }
   }
 
-  #answerBeforehand(now: number, from: string, req: VoteRequest): void {
+  #answerPreVote(now: number, from: string, req: VoteRequest): void {
     const { term, log, diskId, role, config } = this.#core
-    const leads = role === VoterRole.Leader
-    const hearsLeader = now - this.#heardLeaderAt < config.timing.electionMinMs
-    const covered = log.isCoveredBy(req.lastIndex, req.lastTerm)
-    const granted = req.term > term && covered && !leads && !hearsLeader
+    const isLeader = role === VoterRole.Leader
+    const hasRecentLeader = now - this.#lastLeaderContactAt < config.timing.electionMinMs
+    const isUpToDate = log.isOtherUpToDate(req.lastIndex, req.lastTerm)
+    const granted = req.term > term && isUpToDate && !isLeader && !hasRecentLeader
     const value = { term: granted ? req.term : term, diskId, granted, preVote: true }
     this.#core.send(from, { case: 'voteReply', value: value })
   }
 
-  #answer(now: number, from: string, req: VoteRequest): void {
+  #answerVote(now: number, from: string, req: VoteRequest): void {
     const core = this.#core
-    const free = core.votedFor === '' || core.votedFor === req.diskId
-    const covered = core.log.isCoveredBy(req.lastIndex, req.lastTerm)
-    const granted = req.term === core.term && free && covered
+    const isVoteAvailable = core.votedFor === '' || core.votedFor === req.diskId
+    const isUpToDate = core.log.isOtherUpToDate(req.lastIndex, req.lastTerm)
+    const granted = req.term === core.term && isVoteAvailable && isUpToDate
     if (granted && core.votedFor === '') core.setTerm(core.term, req.diskId)
     if (granted) this.#restartTimer(now)
     const value = { term: core.term, diskId: core.diskId, granted, preVote: false }
     core.sendWhenDurable(from, { case: 'voteReply', value: value })
   }
 
-  /** A voter that is the whole set needs not wait for anybody. */
+  /** Starts the election timer; a voter that is the only member starts its election at once. */
   #startTimer(now: number): void {
     this.#restartTimer(now)
     const { isVoter, majority, members } = this.#core
-    const isAlone = isVoter && majority === 1 && members.length === 1
-    if (isAlone) this.#dueAt = now
+    const isOnlyMember = isVoter && majority === 1 && members.length === 1
+    if (isOnlyMember) this.#electionDueAt = now
   }
 
   #restartTimer(now: number): void {
     const { electionMinMs, electionMaxMs } = this.#core.config.timing
-    this.#dueAt = now + this.#random.between(electionMinMs, electionMaxMs)
+    this.#electionDueAt = now + this.#random.between(electionMinMs, electionMaxMs)
   }
 }
--- a/packages/control/src/lib/voter/FollowedLeaders.test.ts
+++ b/packages/control/src/lib/voter/FollowedLeaders.test.ts
@@ -2,25 +2,25 @@
 import { describe, it } from 'node:test'
 import { FollowedLeaders } from './FollowedLeaders'
 
-describe('until when leaders were followed', () => {
-  it('is unknown to a process that never followed one', () => {
-    assert.equal(new FollowedLeaders().before(3), undefined)
+describe('the time until which leaders were followed', () => {
+  it('is undefined for a process that never followed a leader', () => {
+    assert.equal(new FollowedLeaders().lastFollowedBefore(3), undefined)
   })
 
-  it('is the last time of an earlier term, whether or not the new one was followed already', () => {
+  it('is the last time of an earlier term, whether or not the new leader was followed yet', () => {
     const followed = new FollowedLeaders()
-    followed.note(100, 1)
-    followed.note(200, 1)
-    assert.equal(followed.before(2), 200)
-    followed.note(300, 2)
-    assert.equal(followed.before(2), 200)
-    assert.equal(followed.before(3), 300)
+    followed.record(100, 1)
+    followed.record(200, 1)
+    assert.equal(followed.lastFollowedBefore(2), 200)
+    followed.record(300, 2)
+    assert.equal(followed.lastFollowedBefore(2), 200)
+    assert.equal(followed.lastFollowedBefore(3), 300)
   })
 
-  it('does not go back for a message of an old term', () => {
+  it('is not changed by a message of an older term', () => {
     const followed = new FollowedLeaders()
-    followed.note(100, 2)
-    followed.note(200, 1)
-    assert.equal(followed.before(3), 100)
+    followed.record(100, 2)
+    followed.record(200, 1)
+    assert.equal(followed.lastFollowedBefore(3), 100)
   })
 })
--- a/packages/control/src/lib/voter/FollowedLeaders.ts
+++ b/packages/control/src/lib/voter/FollowedLeaders.ts
@@ -1,23 +1,25 @@
 /**
- * Until when this process followed leaders, itself included, by term. A new leader asks a majority
- * for it: no earlier leader was confirmed by a majority after the latest of these times.
+ * Records until when this process followed leaders, itself included, by term. A new leader asks a
+ * majority for these times: no earlier leader was confirmed by a majority after the latest of them.
  *
  * @internal
  */
 export class FollowedLeaders {
   #term = 0
-  #until: number | undefined
-  #before: number | undefined
+  #lastFollowedAt: number | undefined
+  #earlierTermFollowedAt: number | undefined
 
-  note(now: number, term: number): void {
+  record(now: number, term: number): void {
     if (term < this.#term) return
-    if (term > this.#term) this.#before = this.#until
+    if (term > this.#term) this.#earlierTermFollowedAt = this.#lastFollowedAt
     this.#term = term
-    this.#until = now
+    this.#lastFollowedAt = now
   }
 
-  /** When a leader of an earlier term was last followed; undefined if never by this process. */
-  before(term: number): number | undefined {
-    return this.#term >= term ? this.#before : this.#until
+  /**
+   * When this process last followed a leader of a term before `term`; undefined if it never did.
+   */
+  lastFollowedBefore(term: number): number | undefined {
+    return this.#term >= term ? this.#earlierTermFollowedAt : this.#lastFollowedAt
   }
 }
--- a/packages/control/src/lib/voter/Follower.ts
+++ b/packages/control/src/lib/voter/Follower.ts
@@ -1,23 +1,27 @@
 import type { AppendEntries, InstallSnapshot, LogEntry } from '@cherryhitch/protocol'
 import type { VoterCore } from './VoterCore'
 
-/** Takes in what the leader of the term sends. @internal */
+/** Handles the entries and snapshots that the leader of the term sends. @internal */
 export class Follower {
   readonly #core: VoterCore
-  #saidForeign = false
+  #loggedOtherDisk = false
 
   constructor(core: VoterCore) {
     this.#core = core
   }
 
-  /** True when the message is meant for another disk than the one that is here now. */
-  isForeign(diskId: string): boolean {
-    const foreign = diskId !== this.#core.diskId
-    if (foreign && !this.#saidForeign) {
-      this.#saidForeign = true
-      this.#core.say(`the leader knows disk ${diskId} here, this is ${this.#core.diskId}`)
+  /**
+   * True if the message is addressed to another disk than the one in this instance; logged once.
+   */
+  isForOtherDisk(diskId: string): boolean {
+    const isOther = diskId !== this.#core.diskId
+    if (isOther && !this.#loggedOtherDisk) {
+      this.#loggedOtherDisk = true
+      this.#core.logLine(
+        `ignoring messages for disk ${diskId}: the disk of this instance is ${this.#core.diskId}`,
+      )
     }
-    return foreign
+    return isOther
   }
 
   onAppend(from: string, req: AppendEntries): void {
@@ -25,14 +29,14 @@
     const lastIndex = req.previousIndex + req.entries.length
     if (this.#core.state === undefined) {
       this.#reply(from, req.round, false, -1)
-    } else if (req.previousIndex < log.baseIndex || this.#fits(req)) {
-      // What lies before the base is committed, so it is the same with every leader.
-      this.#takeIn(req.entries)
+    } else if (req.previousIndex < log.baseIndex || this.#matchesPreviousEntry(req)) {
+      // Entries before the base are committed, so they are the same for every leader.
+      this.#appendMissing(req.entries)
       const applied = this.#core.commitThrough(Math.min(req.commitIndex, lastIndex))
       if (applied.length > 0) this.#core.compact()
       this.#reply(from, req.round, true, lastIndex)
     } else {
-      // The commit index is a point up to which both logs agree for sure.
+      // Both logs are known to agree up to the commit index, so the leader can go on from there.
       const hint = log.lastIndex < req.previousIndex ? log.lastIndex : this.#core.commitIndex
       this.#reply(from, req.round, false, hint)
     }
@@ -42,28 +46,28 @@
     const { snapshot } = req
     if (snapshot === undefined) return
     const { lastIndex, lastTerm } = snapshot
-    const behind = this.#core.state === undefined || lastIndex > this.#core.commitIndex
-    if (behind && this.#core.log.termAt(lastIndex) === lastTerm) {
+    const isBehind = this.#core.state === undefined || lastIndex > this.#core.commitIndex
+    if (isBehind && this.#core.log.termAt(lastIndex) === lastTerm) {
       this.#core.commitThrough(lastIndex)
-    } else if (behind) {
+    } else if (isBehind) {
       this.#core.install(snapshot)
     }
     this.#reply(from, req.round, true, lastIndex)
   }
 
-  #fits({ previousIndex, previousTerm }: AppendEntries): boolean {
+  #matchesPreviousEntry({ previousIndex, previousTerm }: AppendEntries): boolean {
     return this.#core.log.termAt(previousIndex) === previousTerm
   }
 
-  #takeIn(entries: readonly LogEntry[]): void {
+  #appendMissing(entries: readonly LogEntry[]): void {
     const { log } = this.#core
-    const fresh = entries.filter(({ index, term }) => {
+    const missing = entries.filter(({ index, term }) => {
       return index > log.baseIndex && log.termAt(index) !== term
     })
-    const [first] = fresh
+    const [first] = missing
     if (first === undefined) return
     if (first.index <= log.lastIndex) this.#core.truncateAfter(first.index - 1)
-    this.#core.appendEntries(fresh)
+    this.#core.appendEntries(missing)
   }
 
   #reply(to: string, round: number, accepted: boolean, matchIndex: number): void {
--- a/packages/control/src/lib/voter/Leader.ts
+++ b/packages/control/src/lib/voter/Leader.ts
@@ -8,43 +8,47 @@
   SettingsApplied,
   VotersStatus,
 } from '@cherryhitch/protocol'
-import { Proposals, stampClaims } from './Proposals'
+import { Proposals, stampClaimTimes } from './Proposals'
 import { QuorumReads } from './QuorumReads'
 import { Replication } from './Replication'
-import { SettingsSpread } from './SettingsSpread'
+import { SettingsRollout } from './SettingsRollout'
 import type { VoterCore } from './VoterCore'
 import { VoterRepair } from './VoterRepair'
-import { describeVoters } from './describeVoters'
+import { makeVotersStatus } from './makeVotersStatus'
 import { answerRead } from './answerRead'
 
-/** What a voter does while it leads; made anew with each term that it wins. @internal */
+/**
+ * The leader role of a voter; a new object is created for each term that the voter wins.
+ *
+ * @internal
+ */
 export class Leader {
   readonly #core: VoterCore
   readonly #replication: Replication
   readonly #proposals: Proposals
   readonly #reads = new QuorumReads()
-  readonly #spread: SettingsSpread
+  readonly #rollout: SettingsRollout
   readonly #repair: VoterRepair
   #heartbeatDueAt: number
-  #repairs = 0
+  #repairCount = 0
 
   constructor(core: VoterCore, now: number) {
     this.#core = core
     this.#replication = new Replication(core, now)
     this.#proposals = new Proposals(core)
-    this.#spread = new SettingsSpread(core, now)
+    this.#rollout = new SettingsRollout(core, now)
     this.#repair = new VoterRepair(core, this.#replication)
     this.#heartbeatDueAt = now
-    // Entries of earlier terms are committed together with this one.
+    // Committing this no-op of the new term also commits the entries of earlier terms.
     const commandId = `term.${core.diskId}.${core.term}`
     core.appendCommand(create(CommandSchema, { commandId, change: { case: 'noop', value: {} } }))
   }
 
-  /** False when no majority was heard for so long that another leader may exist. */
+  /** False if no majority was heard from within `electionMaxMs`: another leader may exist. */
   tick(now: number): boolean {
     const { heartbeatMs, electionMaxMs } = this.#core.config.timing
-    if (this.#replication.countHeard(now, electionMaxMs) < this.#core.majority) return false
-    this.#spread.tick(now)
+    if (this.#replication.countRecentlyHeard(now, electionMaxMs) < this.#core.majority) return false
+    this.#rollout.tick(now)
     if (now < this.#heartbeatDueAt) return true
     this.#heartbeatDueAt = now + heartbeatMs
     this.#replication.sendHeartbeats(now)
@@ -56,43 +60,45 @@
     const { command, requestId } = req
     if (command === undefined) return
     const { change, commandId } = command
-    const known = this.#core.state?.answerTo(commandId) !== undefined
-    if (change.case === 'changeVoters' && !known) {
-      const checked = this.#repair.check(now, change.value)
+    const isAnswered = this.#core.state?.answerTo(commandId) !== undefined
+    if (change.case === 'changeVoters' && !isAnswered) {
+      const checked = this.#repair.validate(now, change.value)
       if (checked.err) {
         this.#proposals.refuse({ instance: from, requestId }, commandId, checked.val)
         return
       }
     }
-    this.#proposals.accept(from, { ...req, command: stampClaims(now, command) })
+    this.#proposals.accept(from, { ...req, command: stampClaimTimes(now, command) })
   }
 
   read(now: number, from: string, boot: number, req: ReadControl): void {
-    this.#spread.noteRead(now, from, boot)
+    this.#rollout.renewLease(now, from, boot)
     this.#reads.add({ from, req }, this.#replication.round)
   }
 
   onSettingsApplied(now: number, from: string, boot: number, req: SettingsApplied): void {
-    this.#spread.noteApplied(now, from, boot, req)
+    this.#rollout.onSettingsApplied(now, from, boot, req)
   }
 
   onAppendReply(now: number, reply: AppendReply): void {
     this.#replication.onReply(now, reply)
   }
 
-  /** After each step: sends what is new, commits what a majority has, answers who waits. */
-  settle(now: number): void {
+  /**
+   * Runs after each step: sends new entries, advances the commit index, answers confirmed reads.
+   */
+  finishStep(now: number): void {
     const version = this.#core.state?.settings.version
-    this.#replication.refresh(now)
+    this.#replication.updateMembers(now)
     this.#commit()
-    this.#replication.sendNew(now)
-    if (this.#core.state?.settings.version !== version) this.#spread.announce(now)
+    this.#replication.sendNewEntries(now)
+    if (this.#core.state?.settings.version !== version) this.#rollout.notifyAll(now)
     this.#answerReads(now)
   }
 
-  /** Ends the leadership: everyone who waits gets a truthful answer. */
+  /** Ends the leadership: pending proposals are answered as unknown, reads as unconfirmed. */
   stop(): void {
-    this.#proposals.giveUp()
+    this.#proposals.abandonAll()
     for (const { from, req } of this.#reads.takeAll()) answerRead(this.#core, from, req, undefined)
   }
 
@@ -101,25 +107,28 @@
     return this.#replication.confirmedAt(now)
   }
 
-  /** True once an entry of the own term is committed: the state then lacks nothing. */
+  /** True once an entry of this term is committed: the state then contains all earlier commits. */
   get isEstablished(): boolean {
     const { log, commitIndex, term } = this.#core
     return log.termAt(commitIndex) === term
   }
 
-  /** Asks the voter that has most of the log to take over at once; false when there is none. */
-  handOver(now: number): boolean {
-    const next = this.#replication.nextLeader(now)
-    if (next === undefined) return false
-    const { diskId, instance } = next
-    this.#core.say(`hands the leadership over to ${instance}`)
+  /**
+   * Asks the voter with the most entries to start an election at once; false if no other voter was
+   * heard from recently.
+   */
+  transferLeadership(now: number): boolean {
+    const target = this.#replication.findTransferTarget(now)
+    if (target === undefined) return false
+    const { diskId, instance } = target
+    this.#core.logLine(`transferring leadership to ${instance}`)
     const value = { term: this.#core.term, diskId }
     this.#core.send(instance, { case: 'startElection', value })
     return true
   }
 
   status(now: number): VotersStatus {
-    return describeVoters(now, this.#core, this.#replication)
+    return makeVotersStatus(now, this.#core, this.#replication)
   }
 
   #commit(): void {
@@ -132,7 +141,8 @@
   }
 
   #answerReads(now: number): void {
-    // Before the first commit of the term the state may lack what earlier leaders committed.
+    // Until the first commit of this term the state may lack entries that earlier leaders
+    // committed.
     if (!this.isEstablished) return
     for (const { from, req } of this.#reads.takeConfirmed(this.#replication)) {
       answerRead(this.#core, from, req, this.status(now))
@@ -140,10 +150,10 @@
   }
 
   #proposeRepair(now: number): void {
-    const change = this.#repair.next(now)
-    if (change === undefined || this.#repair.check(now, change).err) return
+    const change = this.#repair.nextChange(now)
+    if (change === undefined || this.#repair.validate(now, change).err) return
     const { diskId, term } = this.#core
-    const commandId = `repair.${diskId}.${term}.${++this.#repairs}`
+    const commandId = `repair.${diskId}.${term}.${++this.#repairCount}`
     const command: Command = create(CommandSchema, {
       commandId,
       change: { case: 'changeVoters', value: change },
--- a/packages/control/src/lib/voter/PersistQueue.ts
+++ b/packages/control/src/lib/voter/PersistQueue.ts
@@ -1,7 +1,7 @@
 import type { ControlSnapshot, HardState, LogEntry } from '@cherryhitch/protocol'
 import type { PersistBatch, SendAction } from './ControlAction'
 
-interface Draft {
+interface PendingBatch {
   hardState: HardState | undefined
   snapshot: ControlSnapshot | undefined
   truncateAfter: number | undefined
@@ -11,12 +11,12 @@
 
 interface InFlight {
   readonly id: number
-  /** Last index that is on the disk once the batch is synced. */
+  /** Last log index on the disk once the batch is synced. */
   lastIndex: number
   readonly held: SendAction[]
 }
 
-function emptyDraft(): Draft {
+function emptyBatch(): PendingBatch {
   return {
     hardState: undefined,
     snapshot: undefined,
@@ -27,14 +27,14 @@
 }
 
 /**
- * Collects what has to be synced while one batch is out, so that it all goes out together in the
- * next one, and holds messages back until what they say is on the disk.
+ * Collects writes while a batch is being synced, so that they are synced together in the next
+ * batch, and holds back messages until the writes that they depend on are on the disk.
  *
  * @internal
  */
 export class PersistQueue {
   #nextId = 1
-  #draft = emptyDraft()
+  #pending = emptyBatch()
   #inFlight: InFlight | undefined
   #durableIndex: number
   #failed = false
@@ -43,7 +43,7 @@
     this.#durableIndex = durableIndex
   }
 
-  /** Last index of the log that is known to be on the disk. */
+  /** Last log index known to be on the disk. */
   get durableIndex(): number {
     return this.#durableIndex
   }
@@ -52,48 +52,48 @@
     return this.#failed
   }
 
-  noteHardState(hardState: HardState): void {
-    this.#draft.hardState = hardState
+  queueHardState(hardState: HardState): void {
+    this.#pending.hardState = hardState
   }
 
-  noteEntries(entries: readonly LogEntry[]): void {
-    this.#draft.entries.push(...entries)
+  queueEntries(entries: readonly LogEntry[]): void {
+    this.#pending.entries.push(...entries)
   }
 
-  noteTruncation(after: number): void {
-    this.#draft.truncateAfter = Math.min(this.#draft.truncateAfter ?? Infinity, after)
-    this.#draft.entries = this.#draft.entries.filter((entry) => entry.index <= after)
+  queueTruncation(after: number): void {
+    this.#pending.truncateAfter = Math.min(this.#pending.truncateAfter ?? Infinity, after)
+    this.#pending.entries = this.#pending.entries.filter((entry) => entry.index <= after)
     this.#durableIndex = Math.min(this.#durableIndex, after)
     if (this.#inFlight === undefined) return
-    // What the running batch writes behind this point is gone again with the next one.
+    // Entries after this index that the batch in flight writes are truncated by the next batch.
     this.#inFlight.lastIndex = Math.min(this.#inFlight.lastIndex, after)
   }
 
-  noteSnapshot(snapshot: ControlSnapshot): void {
-    this.#draft.snapshot = snapshot
+  queueSnapshot(snapshot: ControlSnapshot): void {
+    this.#pending.snapshot = snapshot
   }
 
-  /** Gives the message back when nothing is unsynced; else keeps it until everything is. */
-  hold(action: SendAction): SendAction | undefined {
+  /** Returns the message if nothing is unsynced; otherwise holds it until everything queued is. */
+  holdUntilDurable(action: SendAction): SendAction | undefined {
     if (this.#failed) return undefined
-    if (this.#isDirty()) this.#draft.held.push(action)
+    if (this.#hasPendingWrites()) this.#pending.held.push(action)
     else if (this.#inFlight !== undefined) this.#inFlight.held.push(action)
     else return action
     return undefined
   }
 
-  /** The next batch, when there is something to sync and none is out. */
+  /** Returns the next batch, if there is something to sync and no batch is in flight. */
   takeBatch(lastIndex: number): PersistBatch | undefined {
-    if (this.#failed || this.#inFlight !== undefined || !this.#isDirty()) return undefined
-    const { hardState, snapshot, truncateAfter, entries, held } = this.#draft
+    if (this.#failed || this.#inFlight !== undefined || !this.#hasPendingWrites()) return undefined
+    const { hardState, snapshot, truncateAfter, entries, held } = this.#pending
     const id = this.#nextId++
-    this.#draft = emptyDraft()
+    this.#pending = emptyBatch()
     this.#inFlight = { id, lastIndex, held }
     return { id, hardState, snapshot, truncateAfter, entries }
   }
 
-  /** The batch is on the disk: gives the messages back that waited for it. */
-  finish(id: number): readonly SendAction[] {
+  /** Marks the batch as synced and returns the messages that waited for it. */
+  completeBatch(id: number): readonly SendAction[] {
     const done = this.#inFlight
     if (done?.id !== id || this.#failed) return []
     this.#durableIndex = done.lastIndex
@@ -101,15 +101,18 @@
     return done.held
   }
 
-  /** After a failure nothing is acknowledged any more: only a restart tells what the disk holds. */
-  fail(): void {
+  /**
+   * After a failed write nothing more is acknowledged: the contents of the disk are unknown until a
+   * restart reads them.
+   */
+  markFailed(): void {
     this.#failed = true
     this.#inFlight = undefined
-    this.#draft = emptyDraft()
+    this.#pending = emptyBatch()
   }
 
-  #isDirty(): boolean {
-    const { hardState, snapshot, truncateAfter, entries } = this.#draft
+  #hasPendingWrites(): boolean {
+    const { hardState, snapshot, truncateAfter, entries } = this.#pending
     if (hardState !== undefined || snapshot !== undefined) return true
     return truncateAfter !== undefined || entries.length > 0
   }
--- a/packages/control/src/lib/voter/Proposals.ts
+++ b/packages/control/src/lib/voter/Proposals.ts
@@ -8,53 +8,60 @@
   readonly requestId: string
 }
 
-/** Remembers who waits for which command, and answers each once it is applied. @internal */
+/**
+ * Tracks the requests that wait for each command, and answers them once it is applied.
+ *
+ * @internal
+ */
 export class Proposals {
   readonly #core: VoterCore
-  readonly #waiting = new Map<string, Waiter[]>()
+  readonly #waiters = new Map<string, Waiter[]>()
 
   constructor(core: VoterCore) {
     this.#core = core
   }
 
-  /** Appends a command for the first who proposes it; others wait for the same answer. */
+  /** Appends a command when it is first proposed; later proposals wait for the same answer. */
   accept(from: string, { requestId, command }: Propose): void {
     if (command === undefined) return
     const waiter = { instance: from, requestId }
     const { commandId } = command
     const first = this.#core.state?.answerTo(commandId)
-    const waiting = this.#waiting.get(commandId)
+    const waiting = this.#waiters.get(commandId)
     if (first !== undefined) {
       this.#answer(waiter, first)
     } else if (waiting !== undefined) {
       waiting.push(waiter)
-    } else if (this.#waiting.size >= this.#core.config.limits.pendingProposals) {
+    } else if (this.#waiters.size >= this.#core.config.limits.maxPendingProposals) {
       this.refuse(waiter, commandId, 'too many commands wait for their commit')
     } else {
-      this.#waiting.set(commandId, [waiter])
+      this.#waiters.set(commandId, [waiter])
       this.#core.appendCommand(command)
     }
   }
 
-  /** Nothing was appended: the command truly did not take effect by this proposal. */
+  /** Answers as unavailable: nothing was appended, so this proposal had no effect. */
   refuse(waiter: Waiter, commandId: string, detail: string): void {
-    this.#answer(waiter, answerWithout(commandId, CommandResult.UNAVAILABLE, detail))
+    this.#answer(waiter, makeAnswer(commandId, CommandResult.UNAVAILABLE, detail))
   }
 
   onApplied({ entry, answer }: AppliedEntry): void {
     const commandId = entry.command?.commandId ?? ''
-    for (const waiter of this.#waiting.get(commandId) ?? []) this.#answer(waiter, answer)
-    this.#waiting.delete(commandId)
+    for (const waiter of this.#waiters.get(commandId) ?? []) this.#answer(waiter, answer)
+    this.#waiters.delete(commandId)
   }
 
-  /** The leadership ended: what was appended may still be committed by another leader. */
-  giveUp(): void {
+  /**
+   * Answers all pending proposals as unknown when the leadership ends: another leader may still
+   * commit the appended commands.
+   */
+  abandonAll(): void {
     const detail = 'the leader stepped down before the commit'
-    for (const [commandId, waiters] of this.#waiting) {
-      const answer = answerWithout(commandId, CommandResult.UNKNOWN, detail)
+    for (const [commandId, waiters] of this.#waiters) {
+      const answer = makeAnswer(commandId, CommandResult.UNKNOWN, detail)
       for (const waiter of waiters) this.#answer(waiter, answer)
     }
-    this.#waiting.clear()
+    this.#waiters.clear()
   }
 
   #answer({ instance, requestId }: Waiter, answer: CommandAnswer): void {
@@ -63,17 +70,17 @@
   }
 }
 
-function answerWithout(commandId: string, result: CommandResult, detail: string): CommandAnswer {
+function makeAnswer(commandId: string, result: CommandResult, detail: string): CommandAnswer {
   return create(CommandAnswerSchema, { commandId, result, detail })
 }
 
 /**
- * The command with the leader's clock on its claims, so that their retention goes by one clock.
- * A copy, since the same message may arrive again.
+ * Returns the command with the leader's time on its claims, so that retention is measured by a
+ * single clock. Claims are stamped on a copy, since the same message may arrive again.
  *
  * @internal
  */
-export function stampClaims(now: number, command: Command): Command {
+export function stampClaimTimes(now: number, command: Command): Command {
   const kind = command.change.case
   if (kind !== 'claimKeys' && kind !== 'endClaims') return command
   const stamped = clone(CommandSchema, command)
--- a/packages/control/src/lib/voter/QuorumReads.ts
+++ b/packages/control/src/lib/voter/QuorumReads.ts
@@ -1,20 +1,20 @@
 import type { ReadControl } from '@cherryhitch/protocol'
 import type { Replication } from './Replication'
 
-/** A read that waits until a majority confirms the leadership. @internal */
+/** A read that waits until a majority confirms the leader. @internal */
 export interface WaitingRead {
   readonly from: string
   readonly req: ReadControl
 }
 
 interface PendingRead extends WaitingRead {
-  /** A majority has to answer a later round than this. */
+  /** The read is confirmed once a majority has answered a later round than this one. */
   readonly afterRound: number
 }
 
 /**
- * Reads through the quorum. They ride on the heartbeats, so that a read costs no message among
- * the voters and waits for one heartbeat at most.
+ * Linearizable reads. They are confirmed by the regular heartbeats, so a read costs no extra
+ * message between the voters and waits for at most one heartbeat interval.
  *
  * @internal
  */
@@ -25,7 +25,7 @@
     this.#pending.push({ ...read, afterRound })
   }
 
-  /** Takes the reads out that a majority has confirmed. */
+  /** Removes and returns the reads that a majority has confirmed. */
   takeConfirmed(replication: Replication): readonly WaitingRead[] {
     if (this.#pending.length === 0) return []
     const confirmed = replication.majorityRound()
--- a/packages/control/src/lib/voter/QuorumRules.ts
+++ b/packages/control/src/lib/voter/QuorumRules.ts
@@ -1,14 +1,19 @@
 import type { Voter } from '@cherryhitch/protocol'
 
-/** Who counts, and what a leader may commit by counting. @internal */
+/** Which members have a vote, and which entries a majority may commit. @internal */
 export abstract class QuorumRules {
-  abstract counts(member: Voter): boolean
+  abstract hasVote(member: Voter): boolean
   abstract mayCommit(entryTerm: number, currentTerm: number): boolean
 }
 
-/** Learners never count; entries of earlier terms are committed only by one of the own term. @internal */
+/**
+ * Learners never have a vote. Entries of earlier terms are committed only together with an entry of
+ * the leader's own term.
+ *
+ * @internal
+ */
 export class StrictQuorumRules extends QuorumRules {
-  override counts(member: Voter): boolean {
+  override hasVote(member: Voter): boolean {
     return !member.learner
   }
 
--- a/packages/control/src/lib/voter/Replication.test.ts
+++ b/packages/control/src/lib/voter/Replication.test.ts
@@ -14,37 +14,38 @@
   return voter.lines.some((line) => line.includes('not counted'))
 }
 
-describe('a member that refuses entries behind what it had synced', () => {
-  it('is trusted when its answer is older than the one that told of the sync', () => {
+describe('a member that rejects entries that follow those it had synced', () => {
+  it('is trusted if the rejected round was sent before its sync was known', () => {
     const voter = startLeader()
     const { round, lastIndex } = voter.lastAppendTo('b')
     voter.run(200)
     const later = voter.lastAppendTo('b').round
     voter.appendReply('b', true, lastIndex, round)
-    // Both were sent before the leader knew, and were answered in another order.
+    // Both rounds were sent before the leader knew of the sync, and the replies arrive reordered.
     voter.appendReply('b', false, lastIndex - 1, later)
     voter.appendReply('b', false, lastIndex - 1, round)
     assert.ok(!isDistrusted(voter))
     assert.equal(voter.machine.commitIndex, lastIndex)
   })
 
-  it('is trusted when it holds entries of an older leader behind that point', () => {
+  it('is trusted if it holds entries of an older leader after that index', () => {
     const voter = startLeader()
     const { round, lastIndex } = voter.lastAppendTo('b')
     voter.run(800)
     const later = voter.lastAppendTo('b').round
-    // A late refusal names a higher index, where other entries are; the next question must not.
+    // A late rejection hints at a higher index, where the member holds entries of another leader.
+    // The next message must not start there.
     voter.appendReply('b', true, lastIndex - 1, round)
     voter.appendReply('b', false, lastIndex + 3, later)
     voter.run(200)
     const asked = voter.lastAppendTo('b')
-    assert.ok(asked.lastIndex <= lastIndex, `asked behind ${asked.lastIndex}`)
+    assert.ok(asked.lastIndex <= lastIndex, `the next message goes up to ${asked.lastIndex}`)
     voter.appendReply('b', true, lastIndex, asked.round)
     assert.ok(!isDistrusted(voter))
     assert.equal(voter.machine.commitIndex, lastIndex)
   })
 
-  it('is not counted when it was asked after that', () => {
+  it('is not counted if the rejected round was sent after its sync was known', () => {
     const voter = startLeader()
     const { round, lastIndex } = voter.lastAppendTo('b')
     voter.appendReply('b', true, lastIndex, round)
@@ -55,11 +56,11 @@
 })
 
 describe('a new leader', () => {
-  it('removes nobody before it has heard of a majority of the rest', () => {
+  it('removes no voter before it has heard from a majority of the remaining set', () => {
     const voter = startLeader()
     const { round, lastIndex } = voter.lastAppendTo('b')
     voter.appendReply('b', true, lastIndex, round)
-    // Only `b` was heard, so without it `a` and the silent `c` would be left.
+    // Only `b` has replied, so its removal would leave `a` and the silent `c`.
     const command = changeVoters('r', VoterChangeKind.REMOVE, 'b', 'b-test')
     voter.receive('x', { case: 'propose', value: { requestId: '1', command } })
     const [reply] = voter.sent.filter(({ to }) => to === 'x')
@@ -70,7 +71,7 @@
 })
 
 describe('a member that is far behind', () => {
-  it('gets a snapshot once, whatever its heartbeats answer meanwhile', () => {
+  it('is sent a snapshot only once, whatever it replies to heartbeats meanwhile', () => {
     const voter = startLeader()
     const { round, lastIndex } = voter.lastAppendTo('b')
     voter.appendReply('b', true, lastIndex, round)
--- a/packages/control/src/lib/voter/Replication.ts
+++ b/packages/control/src/lib/voter/Replication.ts
@@ -1,26 +1,30 @@
 import type { AppendReply, Voter } from '@cherryhitch/protocol'
 import type { VoterCore } from './VoterCore'
 
-/** How far a member has come, as its leader knows. */
+/** Replication progress of one member, as the leader knows it. */
 interface Progress {
   readonly diskId: string
-  /** Last index that it has synced; -1 while that is unknown. */
-  match: number
-  next: number
-  /** When and with which round the entries were sent that are not yet answered. */
+  /** Last index that the member has synced; -1 while that is unknown. */
+  matchIndex: number
+  nextIndex: number
+  /** When the entries or snapshot in flight were sent; undefined if none are in flight. */
   sentAt: number | undefined
+  /** Round of the message that carried them. */
   sentRound: number
   sentSnapshot: boolean
-  /** Highest round that it answered. */
+  /** Highest round that the member answered. */
   ackedRound: number
-  /** Last round that was sent before `match` was known: older answers may contradict it. */
+  /**
+   * Last round sent when `matchIndex` last rose. Replies to it or to earlier rounds may contradict
+   * `matchIndex`.
+   */
   matchedRound: number
   heardAt: number
-  /** Rounds that it has not answered yet, oldest first, and when each was sent. */
-  readonly openRounds: SentRound[]
-  /** When the newest round was sent that it answered. */
+  /** Rounds that the member has not answered yet, oldest first. */
+  readonly unansweredRounds: SentRound[]
+  /** When the newest round that the member answered was sent. */
   confirmedAt: number
-  /** It once acknowledged entries that it has no more: its disk must not be trusted. */
+  /** The member lacks entries that it had acknowledged, so its disk must not be trusted. */
   lostEntries: boolean
 }
 
@@ -29,10 +33,10 @@
   readonly sentAt: number
 }
 
-/** Rounds remembered for a silent member: more than a leader sends before it steps down. */
-const MAX_OPEN_ROUNDS = 1_000
+/** Rounds kept for a silent member: more than a leader sends before it steps down. */
+const MAX_UNANSWERED_ROUNDS = 1_000
 
-/** Sends the leader's log to the members and counts what they have synced. @internal */
+/** Sends the leader's log to the members and tracks what they have synced. @internal */
 export class Replication {
   readonly #core: VoterCore
   readonly #members = new Map<string, Progress>()
@@ -40,20 +44,23 @@
 
   constructor(core: VoterCore, now: number) {
     this.#core = core
-    this.refresh(now)
+    this.updateMembers(now)
   }
 
-  /** Round of the last message; what is answered to a later one proves leadership after now. */
+  /**
+   * Number of the last message sent to any member. A reply to a later round shows that the member
+   * still followed this leader after now.
+   */
   get round(): number {
     return this.#round
   }
 
-  /** Follows the set of members after a change. */
-  refresh(now: number): void {
+  /** Updates the tracked members after a membership change. */
+  updateMembers(now: number): void {
     const { members, diskId: own, log } = this.#core
-    const wanted = new Set(members.map(({ diskId }) => diskId))
+    const currentIds = new Set(members.map(({ diskId }) => diskId))
     for (const diskId of this.#members.keys()) {
-      if (!wanted.has(diskId)) this.#members.delete(diskId)
+      if (!currentIds.has(diskId)) this.#members.delete(diskId)
     }
     for (const { diskId } of members) {
       if (diskId === own || this.#members.has(diskId)) continue
@@ -61,23 +68,23 @@
     }
   }
 
-  /** Sends entries to every member that lacks some and has none under way. */
-  sendNew(now: number): void {
-    for (const [member, progress] of this.#others()) {
-      const lacks = progress.next <= this.#core.log.lastIndex
-      if (lacks && progress.sentAt === undefined) this.#sendTo(member, progress, now)
+  /** Sends entries to every member that lacks some and has none in flight. */
+  sendNewEntries(now: number): void {
+    for (const [member, progress] of this.#otherMembers()) {
+      const isBehind = progress.nextIndex <= this.#core.log.lastIndex
+      if (isBehind && progress.sentAt === undefined) this.#sendNext(member, progress, now)
     }
   }
 
-  /** Lets every member know that the leader is there; repeats what was not answered. */
+  /** Sends a heartbeat to every member; resends entries or a snapshot whose reply is overdue. */
   sendHeartbeats(now: number): void {
     const { resendMs, snapshotResendMs } = this.#core.config.timing
-    for (const [member, progress] of this.#others()) {
-      const limit = progress.sentSnapshot ? snapshotResendMs : resendMs
-      if (progress.sentAt !== undefined && now - progress.sentAt >= limit) {
+    for (const [member, progress] of this.#otherMembers()) {
+      const resendAfterMs = progress.sentSnapshot ? snapshotResendMs : resendMs
+      if (progress.sentAt !== undefined && now - progress.sentAt >= resendAfterMs) {
         progress.sentAt = undefined
       }
-      if (progress.sentAt === undefined) this.#sendTo(member, progress, now)
+      if (progress.sentAt === undefined) this.#sendNext(member, progress, now)
       else this.#sendEntries(member, progress, 0, now)
     }
   }
@@ -87,22 +94,22 @@
     if (progress === undefined) return
     progress.heardAt = now
     progress.ackedRound = Math.max(progress.ackedRound, reply.round)
-    noteConfirmed(progress, reply.round)
-    // A heartbeat that is answered says nothing of what is still on its way.
+    recordAnsweredRound(progress, reply.round)
+    // A reply to a heartbeat says nothing about the entries or snapshot still in flight.
     if (reply.round === progress.sentRound) progress.sentAt = undefined
     if (reply.accepted) this.#advance(progress, reply.matchIndex)
-    else this.#goBack(progress, reply)
+    else this.#backtrack(progress, reply)
   }
 
-  /** The last index that a majority has synced. */
+  /** Highest index that a majority has synced. */
   majorityIndex(): number {
-    const synced = this.#counting((diskId) => this.matchOf(diskId))
+    const synced = this.#valuesOfVoters((diskId) => this.matchIndexOf(diskId))
     return synced[this.#core.majority - 1] ?? -1
   }
 
-  /** The last round that a majority has answered. */
+  /** Highest round that a majority has answered. */
   majorityRound(): number {
-    const rounds = this.#counting((diskId) => {
+    const rounds = this.#valuesOfVoters((diskId) => {
       if (diskId === this.#core.diskId) return Infinity
       return this.#members.get(diskId)?.ackedRound ?? 0
     })
@@ -110,31 +117,32 @@
   }
 
   /**
-   * The latest time at which a majority is known to have followed this leader: the sending of the
-   * newest round that it answered. Whoever was elected after it has a later majority.
+   * The latest time at which a majority is known to have followed this leader: when the newest
+   * round that a majority answered was sent. A later leader can only have been elected after that
+   * time.
    */
   confirmedAt(now: number): number {
-    const times = this.#counting((diskId) => {
+    const times = this.#valuesOfVoters((diskId) => {
       if (diskId === this.#core.diskId) return now
       return this.#members.get(diskId)?.confirmedAt ?? -Infinity
     })
     return times[this.#core.majority - 1] ?? -Infinity
   }
 
-  /** The voter that is closest to the whole log; undefined when there is no other. */
-  nextLeader(now: number): Voter | undefined {
+  /** The voter with the most entries; undefined if no other voter was heard from recently. */
+  findTransferTarget(now: number): Voter | undefined {
     const { electionMinMs } = this.#core.config.timing
     const others = this.#core.members.filter((member) => {
-      if (member.diskId === this.#core.diskId || !this.#core.rules.counts(member)) return false
+      if (member.diskId === this.#core.diskId || !this.#core.rules.hasVote(member)) return false
       return this.silentMs(now, member.diskId) < electionMinMs
     })
-    return others.sort((a, b) => this.matchOf(b.diskId) - this.matchOf(a.diskId))[0]
+    return others.sort((a, b) => this.matchIndexOf(b.diskId) - this.matchIndexOf(a.diskId))[0]
   }
 
-  /** Voters, this one included, that were heard within the given time. */
-  countHeard(now: number, withinMs: number): number {
+  /** Number of voters, this one included, that were heard from within the given time. */
+  countRecentlyHeard(now: number, withinMs: number): number {
     const heard = this.#core.members.filter(({ diskId }) => {
-      return this.#core.counts(diskId) && this.silentMs(now, diskId) <= withinMs
+      return this.#core.hasVote(diskId) && this.silentMs(now, diskId) <= withinMs
     })
     return heard.length
   }
@@ -145,11 +153,11 @@
     return progress === undefined ? Infinity : now - progress.heardAt
   }
 
-  /** Last index that a member has synced; -1 while that is unknown or can't be trusted. */
-  matchOf(diskId: string): number {
+  /** Last index that a member has synced; -1 while it is unknown or cannot be trusted. */
+  matchIndexOf(diskId: string): number {
     if (diskId === this.#core.diskId) return this.#core.persist.durableIndex
     const progress = this.#members.get(diskId)
-    return progress === undefined || progress.lostEntries ? -1 : progress.match
+    return progress === undefined || progress.lostEntries ? -1 : progress.matchIndex
   }
 
   hasLostEntries(diskId: string): boolean {
@@ -157,45 +165,45 @@
   }
 
   #advance(progress: Progress, matchIndex: number): void {
-    if (matchIndex > progress.match) {
-      progress.match = matchIndex
+    if (matchIndex > progress.matchIndex) {
+      progress.matchIndex = matchIndex
       progress.matchedRound = this.#round
       progress.sentAt = undefined
     }
-    // From here on every message goes on from what is known to be there.
-    progress.next = progress.match + 1
+    // From here on every message starts after the last entry that the member is known to hold.
+    progress.nextIndex = progress.matchIndex + 1
   }
 
-  #goBack(progress: Progress, { matchIndex, round }: AppendReply): void {
-    // An answer to what was sent before the match was known is late, whatever it says.
-    if (progress.match >= 0 && round <= progress.matchedRound) return
+  #backtrack(progress: Progress, { matchIndex, round }: AppendReply): void {
+    // A reply to a round sent before `matchIndex` was known is out of date, whatever it says.
+    if (progress.matchIndex >= 0 && round <= progress.matchedRound) return
     if (progress.sentAt !== undefined) return
-    if (progress.match >= 0) this.#distrust(progress, matchIndex)
-    progress.next = Math.min(Math.max(0, matchIndex + 1), this.#core.log.lastIndex + 1)
+    if (progress.matchIndex >= 0) this.#markEntriesLost(progress, matchIndex)
+    progress.nextIndex = Math.min(Math.max(0, matchIndex + 1), this.#core.log.lastIndex + 1)
   }
 
-  /** It refuses what it had synced: then it has lost that, and maybe its vote as well. */
-  #distrust(progress: Progress, matchIndex: number): void {
-    const { diskId, match } = progress
-    progress.match = -1
+  /** The member rejects entries that it had synced: it has lost them, and possibly its vote too. */
+  #markEntriesLost(progress: Progress, lastIndex: number): void {
+    const { diskId, matchIndex } = progress
+    progress.matchIndex = -1
     if (progress.lostEntries) return
     progress.lostEntries = true
-    this.#core.say(
-      `disk ${diskId} had synced up to ${match}, now ends at ${matchIndex}: not counted`,
+    this.#core.logLine(
+      `disk ${diskId} lost synced entries (had ${matchIndex}, ends at ${lastIndex}): not counted`,
     )
   }
 
-  #sendTo(member: Voter, progress: Progress, now: number): void {
+  #sendNext(member: Voter, progress: Progress, now: number): void {
     const { log, config } = this.#core
-    if (progress.next <= log.baseIndex) {
+    if (progress.nextIndex <= log.baseIndex) {
       this.#sendSnapshot(member, progress, now)
       return
     }
     const sent = this.#sendEntries(member, progress, config.limits.entriesPerMessage, now)
-    if (sent > 0) this.#noteSent(progress, now, false)
+    if (sent > 0) this.#recordSent(progress, now, false)
   }
 
-  #noteSent(progress: Progress, now: number, sentSnapshot: boolean): void {
+  #recordSent(progress: Progress, now: number, sentSnapshot: boolean): void {
     progress.sentAt = now
     progress.sentRound = this.#round
     progress.sentSnapshot = sentSnapshot
@@ -203,15 +211,15 @@
 
   #sendEntries(member: Voter, progress: Progress, limit: number, now: number): number {
     const { log, term, diskId: leaderDiskId, commitIndex } = this.#core
-    const previousTerm = log.termAt(progress.next - 1)
-    // Behind a member that needs a snapshot there is nothing but the start, which all have.
-    const previousIndex = previousTerm === undefined ? 0 : progress.next - 1
-    const goesOn = previousTerm !== undefined && limit > 0
-    const entries = goesOn ? log.slice(progress.next, limit) : []
+    const previousTerm = log.termAt(progress.nextIndex - 1)
+    // For a member that needs a snapshot the message refers to index 0, which all members have.
+    const previousIndex = previousTerm === undefined ? 0 : progress.nextIndex - 1
+    const canSend = previousTerm !== undefined && limit > 0
+    const entries = canSend ? log.slice(progress.nextIndex, limit) : []
     const round = this.#beginRound(progress, now)
     const { diskId } = member
-    const place = { term, leaderDiskId, diskId, previousIndex, previousTerm: previousTerm ?? 0 }
-    const value = { ...place, entries, commitIndex, round }
+    const header = { term, leaderDiskId, diskId, previousIndex, previousTerm: previousTerm ?? 0 }
+    const value = { ...header, entries, commitIndex, round }
     this.#core.send(member.instance, { case: 'appendEntries', value })
     return entries.length
   }
@@ -224,51 +232,51 @@
     const round = this.#beginRound(progress, now)
     const value = { term, leaderDiskId, diskId: member.diskId, snapshot, round }
     this.#core.send(member.instance, { case: 'installSnapshot', value })
-    this.#noteSent(progress, now, true)
+    this.#recordSent(progress, now, true)
   }
 
-  #beginRound({ openRounds }: Progress, now: number): number {
+  #beginRound({ unansweredRounds }: Progress, now: number): number {
     const round = ++this.#round
-    openRounds.push({ round, sentAt: now })
-    if (openRounds.length > MAX_OPEN_ROUNDS) openRounds.shift()
+    unansweredRounds.push({ round, sentAt: now })
+    if (unansweredRounds.length > MAX_UNANSWERED_ROUNDS) unansweredRounds.shift()
     return round
   }
 
-  #others(): [Voter, Progress][] {
+  #otherMembers(): [Voter, Progress][] {
     return this.#core.members.flatMap((member) => {
       const progress = this.#members.get(member.diskId)
       return progress === undefined ? [] : [[member, progress] as [Voter, Progress]]
     })
   }
 
-  /** A number of each member that counts, the highest first. */
-  #counting(numberOf: (diskId: string) => number): number[] {
-    const counting = this.#core.members.filter((member) => this.#core.rules.counts(member))
-    return counting.map(({ diskId }) => numberOf(diskId)).sort((a, b) => b - a)
+  /** A value for each member that has a vote, highest first. */
+  #valuesOfVoters(valueOf: (diskId: string) => number): number[] {
+    const voters = this.#core.members.filter((member) => this.#core.rules.hasVote(member))
+    return voters.map(({ diskId }) => valueOf(diskId)).sort((a, b) => b - a)
   }
 }
 
-function newProgress(diskId: string, next: number, now: number): Progress {
+function newProgress(diskId: string, nextIndex: number, now: number): Progress {
   return {
     diskId,
-    match: -1,
-    next,
+    matchIndex: -1,
+    nextIndex,
     sentAt: undefined,
     sentRound: 0,
     sentSnapshot: false,
     ackedRound: 0,
     matchedRound: 0,
     heardAt: now,
-    openRounds: [],
+    unansweredRounds: [],
     confirmedAt: -Infinity,
     lostEntries: false,
   }
 }
 
-function noteConfirmed(progress: Progress, round: number): void {
-  const { openRounds } = progress
-  while (openRounds[0] !== undefined && openRounds[0].round <= round) {
-    progress.confirmedAt = Math.max(progress.confirmedAt, openRounds[0].sentAt)
-    openRounds.shift()
+function recordAnsweredRound(progress: Progress, round: number): void {
+  const { unansweredRounds } = progress
+  while (unansweredRounds[0] !== undefined && unansweredRounds[0].round <= round) {
+    progress.confirmedAt = Math.max(progress.confirmedAt, unansweredRounds[0].sentAt)
+    unansweredRounds.shift()
   }
 }
--- a/packages/control/src/lib/voter/VoterCore.ts
+++ b/packages/control/src/lib/voter/VoterCore.ts
@@ -18,25 +18,26 @@
 import { VoterLog } from './VoterLog'
 import type { StoredVoter, VoterConfig } from './VoterOptions'
 
-/** Version of the stored term and vote. */
+/** Schema version of the stored term and vote. */
 const HARD_STATE_VERSION = 1
 
 type EnvelopeFields = Parameters<typeof envelope>[0]
 
-/** A command that was applied, for those who wait for it. @internal */
+/** A log entry that was applied, with the answer to its command. @internal */
 export interface AppliedEntry {
   readonly entry: LogEntry
   readonly answer: CommandAnswer
 }
 
-/** Versions of what the state machine holds, to tell what a step changed. */
+/** Versions of the settings and the routing, compared to detect what a commit changed. */
 interface StateVersions {
   readonly settings: number
   readonly routing: number
 }
 
 /**
- * What all parts of a voter share: term, vote, log, state, and the actions of the running step.
+ * State that all parts of a voter share: term, vote, log, replicated state, and the actions that
+ * the current step has emitted.
  *
  * @internal
  */
@@ -45,21 +46,24 @@
   readonly rules: QuorumRules
   readonly diskId: string
   readonly log: VoterLog
-  readonly followed = new FollowedLeaders()
+  readonly followedLeaders = new FollowedLeaders()
   readonly persist: PersistQueue
-  /** Undefined on a disk that no leader has filled yet. */
+  /** Undefined on a new disk until a leader installs a snapshot on it. */
   state: ControlState | undefined
   commitIndex: number
   #appliedIndex: number
   #snapshotIndex: number
-  /** Voters make their snapshots at different times, so that a majority goes on meanwhile. */
+  /**
+   * Random factor on the snapshot interval, so that voters take their snapshots at different times
+   * and a majority keeps committing meanwhile.
+   */
   readonly #snapshotStagger: number
   #term: number
   #votedFor: string
   #role = VoterRole.Follower
   #leader = ''
   #members: readonly Voter[] = []
-  #out: ControlAction[] = []
+  #actions: ControlAction[] = []
 
   constructor(config: VoterConfig, rules: QuorumRules, stored: StoredVoter) {
     this.config = config
@@ -91,7 +95,7 @@
     return this.#role
   }
 
-  /** Instance that leads; empty while it is unknown. */
+  /** The leader's instance; empty while no leader is known. */
   get leader(): string {
     return this.#leader
   }
@@ -100,7 +104,7 @@
     return this.#appliedIndex
   }
 
-  /** The set after the last change in the log, committed or not. */
+  /** The members after the last membership change in the log, committed or not. */
   get members(): readonly Voter[] {
     return this.#members
   }
@@ -109,30 +113,32 @@
     return majorityOf(this.#members)
   }
 
-  /** True when this disk has a vote, as far as this voter knows. */
+  /** True if this disk is a voting member, as far as this voter knows. */
   get isVoter(): boolean {
-    return this.counts(this.diskId)
+    return this.hasVote(this.diskId)
   }
 
   /**
-   * True for a first voter that never voted and never heard of a leader. A wiped folder that was
-   * initialized a second time looks the same, so such a voter must not help a log to victory.
+   * True for an initial voter that has neither voted nor heard from a leader. A wiped folder that
+   * was initialized a second time looks the same, so a voter in this state must not vote for a log
+   * that has entries: it could help elect a log that lacks entries which the wiped disk
+   * acknowledged.
    */
   get isFresh(): boolean {
     return this.#term === 0
   }
 
-  counts(diskId: string): boolean {
-    return this.#members.some((member) => member.diskId === diskId && this.rules.counts(member))
+  hasVote(diskId: string): boolean {
+    return this.#members.some((member) => member.diskId === diskId && this.rules.hasVote(member))
   }
 
-  /** Enters a term, or votes in it; both are synced before anything that depends on them is sent. */
+  /** Sets term and vote; they are synced before any message that depends on them is sent. */
   setTerm(term: number, votedFor: string): void {
     this.#term = term
     this.#votedFor = votedFor
     const { diskId } = this
     const schemaVersion = HARD_STATE_VERSION
-    this.persist.noteHardState(create(HardStateSchema, { schemaVersion, term, votedFor, diskId }))
+    this.persist.queueHardState(create(HardStateSchema, { schemaVersion, term, votedFor, diskId }))
   }
 
   setRole(role: VoterRole, leader: string): void {
@@ -142,7 +148,7 @@
     this.emit({ kind: ControlActionKind.RoleChanged, role, term: this.#term, leader })
   }
 
-  /** Adds a command at the end of the log, in the current term. */
+  /** Appends a command to the log in the current term. */
   appendCommand(command: Command): LogEntry {
     const index = this.log.lastIndex + 1
     const entry = create(LogEntrySchema, { index, term: this.#term, command })
@@ -152,55 +158,55 @@
 
   appendEntries(entries: readonly LogEntry[]): void {
     this.log.append(entries)
-    this.persist.noteEntries(entries)
-    if (entries.some(changesMembers)) this.#refreshMembers()
+    this.persist.queueEntries(entries)
+    if (entries.some(isMembershipChange)) this.#refreshMembers()
   }
 
   truncateAfter(index: number): void {
     this.log.truncateAfter(index)
-    this.persist.noteTruncation(index)
+    this.persist.queueTruncation(index)
     this.#refreshMembers()
   }
 
-  /** Replaces log and state by a leader's snapshot. */
+  /** Replaces log and state with a snapshot from the leader. */
   install(snapshot: ControlSnapshot): void {
-    this.persist.noteTruncation(Math.max(-1, this.log.baseIndex))
+    this.persist.queueTruncation(Math.max(-1, this.log.baseIndex))
     this.log.reset(snapshot.lastIndex, snapshot.lastTerm)
-    this.persist.noteSnapshot(snapshot)
-    const before = this.#versions()
+    this.persist.queueSnapshot(snapshot)
+    const before = this.#stateVersions()
     this.state = new ControlState(snapshot, this.config.state)
     this.commitIndex = snapshot.lastIndex
     this.#appliedIndex = snapshot.lastIndex
     this.#snapshotIndex = snapshot.lastIndex
     this.#refreshMembers()
-    this.#noteChanges(before)
+    this.#emitStateChanges(before)
   }
 
-  /** Applies entries up to the index, which is committed. */
+  /** Advances the commit index and applies the entries up to it. */
   commitThrough(index: number): readonly AppliedEntry[] {
     this.commitIndex = Math.max(this.commitIndex, index)
     const applied: AppliedEntry[] = []
-    const before = this.#versions()
+    const before = this.#stateVersions()
     while (this.state !== undefined && this.#appliedIndex < this.commitIndex) {
       const entry = this.log.at(this.#appliedIndex + 1)
       if (entry?.command === undefined) break
       applied.push({ entry, answer: this.#apply(this.state, entry, entry.command) })
     }
-    // Once for all of them: after a restart they may be thousands.
-    this.#noteChanges(before)
+    // Emitted once for the whole range, which may be thousands of entries after a restart.
+    this.#emitStateChanges(before)
     return applied
   }
 
-  /** Makes a snapshot when enough entries were applied since the last one. */
+  /** Takes a snapshot and drops old entries once enough were applied since the last snapshot. */
   compact(): void {
     const { snapshotEvery, entriesKept } = this.config.limits
     if (this.state === undefined) return
-    // A share of the size, so that the cost of snapshots stays in proportion to the changes.
+    // The interval grows with the state, so that snapshot cost stays proportional to the changes.
     const due = (snapshotEvery + this.state.size / 4) * this.#snapshotStagger
     if (this.#appliedIndex - this.#snapshotIndex < due) return
     const lastTerm = this.log.termAt(this.#appliedIndex)
     if (lastTerm === undefined) return
-    this.persist.noteSnapshot(this.state.snapshot(this.#appliedIndex, lastTerm))
+    this.persist.queueSnapshot(this.state.snapshot(this.#appliedIndex, lastTerm))
     this.#snapshotIndex = this.#appliedIndex
     this.log.dropThrough(Math.max(this.log.baseIndex, this.#appliedIndex - entriesKept))
   }
@@ -209,27 +215,27 @@
     this.emit({ kind: ControlActionKind.Send, to, envelope: envelope(body) })
   }
 
-  /** Sends once everything that was noted so far is synced. */
+  /** Sends the message once everything queued so far is synced. */
   sendWhenDurable(to: string, body: EnvelopeFields): void {
     const action = { kind: ControlActionKind.Send as const, to, envelope: envelope(body) }
-    const ready = this.persist.hold(action)
+    const ready = this.persist.holdUntilDurable(action)
     if (ready !== undefined) this.emit(ready)
   }
 
-  say(line: string): void {
+  logLine(line: string): void {
     this.emit({ kind: ControlActionKind.Log, line })
   }
 
   emit(action: ControlAction): void {
-    this.#out.push(action)
+    this.#actions.push(action)
   }
 
-  /** Ends the step: gives out its actions, with the next batch to sync if there is one. */
+  /** Ends the step: returns its actions, including the next batch to sync if there is one. */
   takeActions(): readonly ControlAction[] {
     const batch = this.persist.takeBatch(this.log.lastIndex)
     if (batch !== undefined) this.emit({ kind: ControlActionKind.Persist, batch })
-    const actions = this.#out
-    this.#out = []
+    const actions = this.#actions
+    this.#actions = []
     return actions
   }
 
@@ -241,12 +247,12 @@
     return answer
   }
 
-  #versions(): StateVersions {
+  #stateVersions(): StateVersions {
     const { state } = this
     return { settings: state?.settings.version ?? 0, routing: state?.routing.version ?? 0 }
   }
 
-  #noteChanges(before: StateVersions): void {
+  #emitStateChanges(before: StateVersions): void {
     if (this.state === undefined) return
     const { settings, routing } = this.state
     if (settings.version > before.settings) {
@@ -262,7 +268,7 @@
     let members = state?.voters ?? []
     for (const { command } of this.log.slice(this.#appliedIndex + 1)) {
       if (command?.change.case !== 'changeVoters') continue
-      // A repeated command changes nothing when it is applied, so it must not do so here.
+      // A repeated command has no effect when it is applied, so it must have none here.
       if (state?.answerTo(command.commandId) !== undefined) continue
       members = changeMembers(members, command.change.value).unwrapOr(members)
     }
@@ -270,6 +276,6 @@
   }
 }
 
-function changesMembers({ command }: LogEntry): boolean {
+function isMembershipChange({ command }: LogEntry): boolean {
   return command?.change.case === 'changeVoters'
 }
--- a/packages/control/src/lib/voter/VoterLog.ts
+++ b/packages/control/src/lib/voter/VoterLog.ts
@@ -1,12 +1,16 @@
 import type { LogEntry } from '@cherryhitch/protocol'
 
-/** The log in memory: entries after a base, which a snapshot covers. @internal */
+/**
+ * The log in memory: the entries after a base index; a snapshot covers those up to it.
+ *
+ * @internal
+ */
 export class VoterLog {
   #baseIndex: number
   #baseTerm: number
   #entries: LogEntry[]
 
-  /** @param baseIndex - -1 for a log that has no state to start from */
+  /** @param baseIndex - index that the snapshot covers; -1 if there is no snapshot */
   constructor(baseIndex: number, baseTerm: number, entries: readonly LogEntry[]) {
     this.#baseIndex = baseIndex
     this.#baseTerm = baseTerm
@@ -25,7 +29,7 @@
     return this.#entries.at(-1)?.term ?? this.#baseTerm
   }
 
-  /** Undefined for what lies before the base or after the end. */
+  /** Term of an entry; undefined before the base and after the end. */
   termAt(index: number): number | undefined {
     return index === this.#baseIndex ? this.#baseTerm : this.at(index)?.term
   }
@@ -34,7 +38,7 @@
     return index <= this.#baseIndex ? undefined : this.#entries[index - this.#baseIndex - 1]
   }
 
-  /** Entries from an index on, at most `limit`. */
+  /** At most `limit` entries, starting at an index. */
   slice(from: number, limit = Infinity): LogEntry[] {
     const start = from - this.#baseIndex - 1
     return this.#entries.slice(start, start + limit)
@@ -48,7 +52,7 @@
     this.#entries.length = Math.max(0, index - this.#baseIndex)
   }
 
-  /** Moves the base up to an index that the log holds. */
+  /** Drops the entries up to an index in the log, which becomes the base. */
   dropThrough(index: number): void {
     const term = this.termAt(index)
     if (term === undefined) return
@@ -57,15 +61,15 @@
     this.#baseTerm = term
   }
 
-  /** Starts anew behind a snapshot that the log does not reach. */
+  /** Empties the log, to continue after a snapshot that lies beyond its end. */
   reset(baseIndex: number, baseTerm: number): void {
     this.#entries = []
     this.#baseIndex = baseIndex
     this.#baseTerm = baseTerm
   }
 
-  /** True when a log that ends so holds at least what this one holds. */
-  isCoveredBy(lastIndex: number, lastTerm: number): boolean {
+  /** True if a log with the given last entry is at least as up to date as this one. */
+  isOtherUpToDate(lastIndex: number, lastTerm: number): boolean {
     if (lastTerm !== this.lastTerm) return lastTerm > this.lastTerm
     return lastIndex >= this.lastIndex
   }
--- a/packages/control/src/lib/voter/VoterMachine.test.ts
+++ b/packages/control/src/lib/voter/VoterMachine.test.ts
@@ -22,9 +22,9 @@
   return cluster.client(instance).settings?.version
 }
 
-describe('a leader that is cut off silently', () => {
+describe('a leader that is partitioned without notice', () => {
   for (const how of [both, { from: true, to: false }, { from: false, to: true }]) {
-    it(`steps down and comes back as a follower (${JSON.stringify(how)})`, () => {
+    it(`steps down and rejoins as a follower (${JSON.stringify(how)})`, () => {
       const cluster = simulate()
       const old = awaitLeader(cluster)
       cluster.cut(old, how)
@@ -35,11 +35,11 @@
       cluster.cut(old, none)
       cluster.run(3_000)
       assert.equal(settingsOf(cluster, old), 2)
-      assert.equal(awaitLeader(cluster), next, 'its return disturbs nobody')
+      assert.equal(awaitLeader(cluster), next, 'its return does not disrupt the new leader')
     })
   }
 
-  it('answers what it can not commit as unknown, and the log decides later', () => {
+  it('answers commands it cannot commit as unknown; the log decides their result later', () => {
     const cluster = simulate()
     const old = awaitLeader(cluster)
     cluster.cut(old, both)
@@ -53,13 +53,13 @@
     assert.equal(resultOf(decide(cluster, old, setPreset('lost', 'peak', 1))), 'CONFLICT')
   })
 
-  it('keeps the others from claims only until the next one leads; cut off, they fail as not run', () => {
+  it('blocks claims only until the next leader is elected; before, the result is unknown', () => {
     const cluster = simulate()
     const old = awaitLeader(cluster)
     for (const instance of ['a', 'b', 'c']) cluster.crash(instance)
     const command = claimKeys('c1', [keyClaim('k', 'job1')])
     const alone = decide(cluster, 'f', command)
-    assert.equal(resultOf(alone), 'UNKNOWN', 'a message to a dead instance has no answer')
+    assert.equal(resultOf(alone), 'UNKNOWN', 'a message to a dead instance is not answered')
     for (const instance of ['a', 'b', 'c']) cluster.start(instance)
     awaitLeader(cluster)
     assert.equal(resultOf(decide(cluster, 'f', command)), 'APPLIED')
@@ -68,7 +68,7 @@
 })
 
 describe('operators', () => {
-  it('who start from equal versions: the first in the log wins, the other hears of it', () => {
+  it('with equal start versions: the first in the log wins, the other is a conflict', () => {
     const cluster = simulate()
     cluster.propose('a', setPreset('c1', 'peak', 1, 'sato'))
     cluster.propose('b', setPreset('c2', 'maintenance', 1, 'patel'))
@@ -117,7 +117,7 @@
 })
 
 describe('a voter whose disk was wiped', () => {
-  it('comes back as a learner, takes the place of its old disk, and covers for a second loss', () => {
+  it('returns as a learner, replaces its old disk, and makes up for a second loss', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
     const [lost, second] = othersThan(leader)
@@ -130,14 +130,14 @@
       return JSON.stringify(votersOf(cluster)) === JSON.stringify(replaced)
     }, 30_000)
     assert.ok(repaired, votersOf(cluster).join(' '))
-    // A second one is lost in the same moment: the new disk and the third voter hold everything.
+    // The leader is lost right after the repair: the new disk and the third voter hold all entries.
     cluster.wipe(leader)
     const next = awaitLeader(cluster, leader)
     assert.equal(cluster.voter(next)?.settings?.version, 2)
     assert.equal(resultOf(decide(cluster, next, setPreset('after', 'maintenance', 2))), 'APPLIED')
   })
 
-  it('does not count before the change of the voters is committed', () => {
+  it('does not count before the membership change is committed', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
     const [lost, second] = othersThan(leader)
@@ -151,7 +151,7 @@
     awaitLeader(cluster)
   })
 
-  it('and was initialized a second time does not help a log without the newest entries', () => {
+  it('and initialized again does not vote for a log without the newest entries', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
     const [lost, behind] = othersThan(leader)
@@ -170,7 +170,7 @@
     assert.equal(settingsOf(cluster, behind), 2)
   })
 
-  it('restarts from an older snapshot than its promotion and still leads', () => {
+  it('can lead after a restart from a snapshot older than its promotion', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
     const [lost, second] = othersThan(leader)
@@ -189,7 +189,7 @@
     assert.equal(resultOf(decide(cluster, next, setPreset('c', 'peak', 1))), 'APPLIED')
   })
 
-  it('and holds an older copy under its own id is found out and removed', () => {
+  it('and restored from an older copy with the same id is detected and removed', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
     const [old] = othersThan(leader)
@@ -205,8 +205,8 @@
   })
 })
 
-describe('a voter that was cut off for long', () => {
-  it('is replaced by a spare disk, and may come back as a learner', () => {
+describe('a voter that is partitioned for a long time', () => {
+  it('is replaced by a spare disk, and may return as a learner', () => {
     const cluster = simulate({ spares: ['d'] })
     const leader = awaitLeader(cluster)
     addLearner(cluster, 'd')
@@ -225,8 +225,8 @@
   })
 })
 
-describe('a voter that was only silent', () => {
-  it('is still counted when another is lost at the moment of its replacement', () => {
+describe('a voter that is only silent', () => {
+  it('is still counted if another voter is lost while it is being replaced', () => {
     const cluster = simulate({ spares: ['d'], syncMs: 60 })
     const leader = awaitLeader(cluster)
     addLearner(cluster, 'd')
@@ -235,7 +235,7 @@
     cluster.cut(silent, both)
     const voter = cluster.voter(leader)
     const proposed = cluster.runUntil(() => voter?.lastIndex !== voter?.commitIndex, 15_000)
-    assert.ok(proposed, 'the leader makes a change by itself')
+    assert.ok(proposed, 'the leader proposes a change on its own')
     cluster.wipe(lost)
     cluster.run(10_000)
     cluster.cut(silent, none)
@@ -244,8 +244,8 @@
   })
 })
 
-describe('changes of the voters', () => {
-  it('are refused one at a time, when no majority would be left, and before a learner is ready', () => {
+describe('membership changes', () => {
+  it('are refused if no majority would remain, or if the disk to promote has not caught up', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
     const [dead, alive] = othersThan(leader)
@@ -283,7 +283,7 @@
     'the rename of its vote': DiskOperation.Rename,
     'the sync of the folder': DiskOperation.SyncFolder,
   })) {
-    it(`at ${what} gives no vote and takes over after a restart`, () => {
+    it(`at ${what} gives no vote, and can lead after a restart`, () => {
       const cluster = simulate()
       const leader = awaitLeader(cluster)
       const [failing, third] = othersThan(leader)
@@ -298,14 +298,14 @@
     })
   }
 
-  it('while it cuts off entries that were never committed', () => {
+  it('while it truncates uncommitted entries recovers after a restart', () => {
     const cluster = simulate()
     const old = awaitLeader(cluster)
     cluster.cut(old, both)
     decide(cluster, old, setPreset('lost', 'peak', 1))
     const next = awaitLeader(cluster, old)
     decide(cluster, next, setPreset('won', 'maintenance', 1))
-    // The truncation replaces a file of the log: its rename fails, after the one of the vote.
+    // The truncation replaces a log file: its rename is the second one, after that of the vote.
     cluster.disk(old).fail({ operation: DiskOperation.Rename, nth: 2 })
     cluster.cut(old, none)
     cluster.runUntil(() => cluster.voter(old)?.isHealthy === false, 10_000)
@@ -320,7 +320,7 @@
 describe('messages', () => {
   for (const [what, link] of Object.entries({
     'delayed and reordered': { maxDelayMs: 150, loss: 0, duplication: 0 },
-    doubled: { maxDelayMs: 40, loss: 0, duplication: 0.9 },
+    duplicated: { maxDelayMs: 40, loss: 0, duplication: 0.9 },
     lost: { maxDelayMs: 20, loss: 0.3, duplication: 0 },
   })) {
     it(`${what}: every command is decided once`, () => {
@@ -338,7 +338,7 @@
     })
   }
 
-  it('cut off at any time: what is told as not accepted is never committed', () => {
+  it('cut off at any time: a command reported as not accepted is never committed', () => {
     const cluster = simulate()
     const told: string[] = []
     for (let at = 0; at < 120; at++) {
@@ -353,7 +353,7 @@
     for (const [commandId, answer] of cluster.answers) {
       if (resultOf(answer) === 'UNAVAILABLE') told.push(commandId)
     }
-    assert.ok(told.length > 10, `${told.length} were told as not accepted`)
+    assert.ok(told.length > 10, `${told.length} were reported as not accepted`)
     const committed = told.filter((commandId) => cluster.checks.isCommitted(commandId))
     assert.deepEqual(committed, [])
   })
--- a/packages/control/src/lib/voter/VoterMachine.ts
+++ b/packages/control/src/lib/voter/VoterMachine.ts
@@ -23,16 +23,17 @@
 import { Leader } from './Leader'
 import { StrictQuorumRules } from './QuorumRules'
 import { VoterCore } from './VoterCore'
-import { completeOptions } from './VoterOptions'
+import { resolveOptions } from './VoterOptions'
 import type { StoredVoter, VoterMachineOptions } from './VoterOptions'
 
 type Received = Extract<ControlEvent, { kind: ControlEventKind.Received }>
 
 /**
- * One voter (or learner) of the replicated log: elects, replicates, commits, applies.
+ * One voter or learner of the replicated log, as a state machine in the manner of Raft: takes part
+ * in elections, replicates and commits entries, and applies them.
  *
- * Its identity is the id of its disk, so that a wiped disk is a new member. Nothing that depends
- * on a synced write is sent before the event that it is synced.
+ * A member is identified by the id of its disk, so a wiped disk is a new member. A message that
+ * depends on a write is sent only after the `Persisted` event for that write.
  *
  * @public
  */
@@ -40,13 +41,13 @@
   readonly #core: VoterCore
   readonly #election: Election
   readonly #follower: Follower
-  readonly #strangers = new Set<string>()
+  readonly #reportedDisks = new Set<string>()
   #leader: Leader | undefined
 
   constructor(options: VoterMachineOptions, stored: StoredVoter) {
     super()
     this.#core = new VoterCore(
-      completeOptions(options),
+      resolveOptions(options),
       options.rules ?? new StrictQuorumRules(),
       stored,
     )
@@ -62,7 +63,7 @@
     return this.#core.term
   }
 
-  /** Instance that leads; empty while it is unknown. */
+  /** The leader's instance; empty while no leader is known. */
   get leader(): string {
     return this.#core.leader
   }
@@ -71,69 +72,73 @@
     return this.#core.commitIndex
   }
 
-  /** Last index of the log, committed or not. */
+  /** Index of the last log entry, committed or not. */
   get lastIndex(): number {
     return this.#core.log.lastIndex
   }
 
-  /** False after a failed write: only a restart tells what the disk holds. */
+  /**
+   * False after a failed write: the contents of the disk are unknown until a restart reads them.
+   */
   get isHealthy(): boolean {
     return !this.#core.persist.failed
   }
 
-  /** The newest settings that are known here to be committed. */
+  /** The newest settings that this voter knows to be committed. */
   get settings(): SettingsState | undefined {
     return this.#core.state?.settings
   }
 
-  /** The routing of the highest version that is known here to be committed. */
+  /** The routing of the highest version that this voter knows to be committed. */
   get routing(): RoutingState | undefined {
     return this.#core.state?.routing
   }
 
-  /** True while this voter leads and holds everything that was committed before it. */
+  /** True while this voter leads and its state contains everything committed in earlier terms. */
   get isEstablished(): boolean {
     return this.#leader?.isEstablished ?? false
   }
 
-  /** When a majority last followed this voter as its leader; -Infinity if it doesn't lead. */
+  /** When a majority last confirmed this voter as leader; -Infinity if it does not lead. */
   confirmedAt(now: number): number {
     return this.#leader?.confirmedAt(now) ?? -Infinity
   }
 
-  /** When this process last followed a leader of an earlier term; undefined if it never did. */
+  /**
+   * When this process last followed a leader of a term before `term`; undefined if it never did.
+   */
   followedBefore(term: number): number | undefined {
-    return this.#core.followed.before(term)
+    return this.#core.followedLeaders.lastFollowedBefore(term)
   }
 
-  /** The set of voters, as the leader sees it; undefined elsewhere. */
+  /** Status of the voters as the leader sees it; undefined if this voter does not lead. */
   status(now: number): VotersStatus | undefined {
     return this.#leader?.status(now)
   }
 
   override step(now: number, event: ControlEvent): readonly ControlAction[] {
     this.#handle(now, event)
-    return this.#endStep(now)
+    return this.#finishStep(now)
   }
 
-  /** Events that arrived together share one batch of writes and messages. */
+  /** Events that arrive together share one batch of writes and messages. */
   override stepAll(now: number, events: readonly ControlEvent[]): readonly ControlAction[] {
     for (const event of events) this.#handle(now, event)
-    return this.#endStep(now)
+    return this.#finishStep(now)
   }
 
   override tick(now: number): readonly ControlAction[] {
     this.#election.tick(now)
-    if (this.#leader !== undefined) this.#core.followed.note(now, this.#core.term)
+    if (this.#leader !== undefined) this.#core.followedLeaders.record(now, this.#core.term)
     if (this.#leader?.tick(now) === false) {
-      this.#stepDown(now, 'no answer from a majority')
+      this.#stepDown(now, 'no reply from a majority within the election timeout')
     }
-    return this.#endStep(now)
+    return this.#finishStep(now)
   }
 
-  #endStep(now: number): readonly ControlAction[] {
-    this.#leader?.settle(now)
-    if (this.#leader !== undefined && this.#isRemoved()) this.#stepDown(now, 'it was removed')
+  #finishStep(now: number): readonly ControlAction[] {
+    this.#leader?.finishStep(now)
+    if (this.#leader !== undefined && this.#isRemoved()) this.#stepDown(now, 'its disk was removed')
     return this.#core.takeActions()
   }
 
@@ -143,15 +148,17 @@
         this.#receive(now, event)
         return
       case ControlEventKind.Persisted:
-        for (const action of this.#core.persist.finish(event.id)) this.#core.emit(action)
+        for (const action of this.#core.persist.completeBatch(event.id)) this.#core.emit(action)
         return
       case ControlEventKind.PersistFailed:
-        this.#core.persist.fail()
-        this.#core.say(`the disk failed, no vote or entry is acknowledged here: ${event.reason}`)
+        this.#core.persist.markFailed()
+        this.#core.logLine(
+          `disk write failed; no vote or entry is acknowledged until a restart: ${event.reason}`,
+        )
         this.#stepDown(now, 'its disk failed')
         return
-      case ControlEventKind.HandOver:
-        this.#leader?.handOver(now)
+      case ControlEventKind.TransferLeadership:
+        this.#leader?.transferLeadership(now)
         return
       default:
         exhaustive(event)
@@ -165,14 +172,14 @@
         this.#onVoteRequest(now, from, body.value)
         return
       case 'voteReply':
-        this.#noteTerm(now, body.value.term, body.value.granted)
-        if (this.#election.onReply(body.value)) this.#lead(now)
+        this.#observeTerm(now, body.value.term, body.value.granted)
+        if (this.#election.onReply(body.value)) this.#becomeLeader(now)
         return
       case 'appendEntries':
-        if (this.#acceptsLeader(now, from, body.value)) this.#follower.onAppend(from, body.value)
+        if (this.#followLeader(now, from, body.value)) this.#follower.onAppend(from, body.value)
         return
       case 'installSnapshot':
-        if (this.#acceptsLeader(now, from, body.value)) this.#follower.onInstall(from, body.value)
+        if (this.#followLeader(now, from, body.value)) this.#follower.onInstall(from, body.value)
         return
       case 'appendReply':
         this.#onAppendReply(now, body.value)
@@ -181,16 +188,16 @@
         this.#onStartElection(now, body.value)
         return
       default:
-        this.#serve(now, from, boot, body)
+        this.#handleRequest(now, from, boot, body)
     }
   }
 
-  /** Requests of instances, which the leader serves. */
-  #serve(now: number, from: string, boot: number, body: EnvelopeBody): void {
+  /** Handles requests of instances; only the leader can serve proposals and confirmed reads. */
+  #handleRequest(now: number, from: string, boot: number, body: EnvelopeBody): void {
     switch (body.case) {
       case 'propose':
         if (this.#leader !== undefined) this.#leader.propose(now, from, body.value)
-        else this.#sendOn(from, body.value.requestId)
+        else this.#replyNotLeader(from, body.value.requestId)
         return
       case 'readControl':
         if (this.#leader !== undefined) this.#leader.read(now, from, boot, body.value)
@@ -203,41 +210,47 @@
     }
   }
 
-  /** An answer without a result: nothing was accepted here; the leader is named if known. */
-  #sendOn(to: string, requestId: string): void {
+  /** Replies without a result: nothing was accepted; the leader is named if it is known. */
+  #replyNotLeader(to: string, requestId: string): void {
     const value = { requestId, leader: this.#core.leader }
     this.#core.send(to, { case: 'proposeReply', value })
   }
 
   #onVoteRequest(now: number, from: string, req: VoteRequest): void {
-    this.#noteStranger(from, req.diskId)
-    if (this.#election.ignores(req)) return
+    this.#reportNonMember(from, req.diskId)
+    if (this.#election.mustIgnore(req)) return
     if (!req.preVote && req.term > this.#core.term) this.#enterTerm(now, req.term)
     this.#election.onRequest(now, from, req)
   }
 
-  /** A voter that was replaced while it was cut off does not know; an operator has to. */
-  #noteStranger(from: string, diskId: string): void {
-    if (this.#leader === undefined || this.#strangers.has(diskId)) return
+  /**
+   * Logs once per disk that a vote request came from a disk outside the set. A voter that was
+   * replaced while partitioned does not know that it was removed, so the operator has to be told.
+   */
+  #reportNonMember(from: string, diskId: string): void {
+    if (this.#leader === undefined || this.#reportedDisks.has(diskId)) return
     if (this.#core.members.some((member) => member.diskId === diskId)) return
-    this.#strangers.add(diskId)
-    this.#core.say(`disk ${diskId} on ${from} is no member any more; add it again as a learner`)
+    this.#reportedDisks.add(diskId)
+    this.#core.logLine(`disk ${diskId} on ${from} is no member any more; add it again as a learner`)
   }
 
   #onStartElection(now: number, { term, diskId }: StartElection): void {
     const { role } = this.#core
     if (term !== this.#core.term || diskId !== this.#core.diskId) return
-    if (role === VoterRole.Follower) this.#election.startAtOnce(now)
+    if (role === VoterRole.Follower) this.#election.startImmediately(now)
   }
 
   #onAppendReply(now: number, reply: AppendReply): void {
-    this.#noteTerm(now, reply.term, false)
+    this.#observeTerm(now, reply.term, false)
     if (reply.term === this.#core.term) this.#leader?.onAppendReply(now, reply)
   }
 
-  /** Follows the sender as the leader of the term, unless the message is old or for another disk. */
-  #acceptsLeader(now: number, from: string, req: AppendEntries | InstallSnapshot): boolean {
-    if (this.#core.persist.failed || this.#follower.isForeign(req.diskId)) return false
+  /**
+   * Accepts the sender as the leader of its term and resets the election timer. False if the
+   * message is of an earlier term or for another disk, or if the own disk has failed.
+   */
+  #followLeader(now: number, from: string, req: AppendEntries | InstallSnapshot): boolean {
+    if (this.#core.persist.failed || this.#follower.isForOtherDisk(req.diskId)) return false
     if (req.term < this.#core.term) {
       const { term, diskId } = this.#core
       const value = { term, diskId, accepted: false, matchIndex: -1, round: req.round }
@@ -246,13 +259,16 @@
     }
     if (req.term > this.#core.term) this.#enterTerm(now, req.term)
     this.#core.setRole(VoterRole.Follower, from)
-    this.#election.noteLeader(now)
-    this.#core.followed.note(now, req.term)
+    this.#election.onLeaderContact(now)
+    this.#core.followedLeaders.record(now, req.term)
     return true
   }
 
-  /** A granted pre-vote names the term that the sender asked for, which nobody has entered yet. */
-  #noteTerm(now: number, term: number, granted: boolean): void {
+  /**
+   * Enters a later term that a reply names. A granted pre-vote names the term that was asked for,
+   * which no voter has entered yet, so it is skipped.
+   */
+  #observeTerm(now: number, term: number, granted: boolean): void {
     if (granted || term <= this.#core.term || this.#core.isFresh) return
     this.#enterTerm(now, term)
   }
@@ -263,25 +279,25 @@
     else this.#core.setRole(VoterRole.Follower, '')
   }
 
-  #lead(now: number): void {
+  #becomeLeader(now: number): void {
     this.#core.setRole(VoterRole.Leader, this.#core.config.instance)
-    this.#core.say(`leads in term ${this.#core.term}`)
+    this.#core.logLine(`became leader in term ${this.#core.term}`)
     this.#leader = new Leader(this.#core, now)
   }
 
   #stepDown(now: number, why: string): void {
-    if (this.#leader !== undefined) this.#core.say(`stepped down: ${why}`)
+    if (this.#leader !== undefined) this.#core.logLine(`stepped down as leader: ${why}`)
     const leader = this.#leader
     this.#leader = undefined
     this.#core.setRole(VoterRole.Follower, '')
-    this.#election.noteStepDown(now)
+    this.#election.onStepDown(now)
     leader?.stop()
   }
 
-  /** True once the removal of this disk is committed. */
+  /** True once the removal of this disk from the voter set is committed. */
   #isRemoved(): boolean {
     const { state, diskId, members } = this.#core
-    // After a restart the state may be older than the membership that the log gives.
+    // After a restart the applied state may be older than the membership recorded in the log.
     const isMember = [...members, ...(state?.voters ?? [])].some((voter) => voter.diskId === diskId)
     return !isMember
   }
--- a/packages/control/src/lib/voter/VoterOptions.ts
+++ b/packages/control/src/lib/voter/VoterOptions.ts
@@ -3,27 +3,31 @@
 import type { ControlStateOptions } from '../state/ControlState'
 import type { QuorumRules } from './QuorumRules'
 
-/** Times in milliseconds; all are weighed in `docs/design/voters-log.md`. @public */
+/** Times in milliseconds; `docs/design/voters-log.md` gives the reasons for all values. @public */
 export interface VoterTiming {
-  /** Between two messages of the leader to each member. */
+  /** Interval between the leader's heartbeats to each member. */
   readonly heartbeatMs: number
   /**
-   * A follower that hears of no leader for a random time between these two asks for an election;
-   * a leader that hears of no majority for the longer one steps down.
+   * A follower without contact from a leader for a random time between these two bounds starts an
+   * election; a leader without contact from a majority for the upper bound steps down.
    */
   readonly electionMinMs: number
   readonly electionMaxMs: number
-  /** Entries that were sent without an answer are sent again after this. */
+  /** Time after which unanswered entries are sent again. */
   readonly resendMs: number
-  /** The same for a snapshot, which takes longer to send and to store. */
+  /**
+   * Time after which an unanswered snapshot is sent again; it takes longer to send and to store.
+   */
   readonly snapshotResendMs: number
-  /** A voter that is silent for longer may be replaced by a learner that has caught up. */
+  /**
+   * A voter that is silent for longer than this may be replaced by a learner that has caught up.
+   */
   readonly replaceSilentMs: number
-  /** How long an instance may call a version current after it asked for it. */
+  /** How long an instance may treat a settings version as current after asking for it. */
   readonly settingsLeaseMs: number
-  /** A notice of new settings that is not confirmed is sent again after this. */
+  /** Time after which an unconfirmed notice of new settings is sent again. */
   readonly noticeResendMs: number
-  /** Confirmations that arrive within this time go into one entry. */
+  /** Confirmations that arrive within this time are recorded in one entry. */
   readonly confirmBatchMs: number
 }
 
@@ -42,20 +46,20 @@
 
 /** @public */
 export interface VoterLimits {
-  /** Entries in one message. */
+  /** Maximum number of entries in a message. */
   readonly entriesPerMessage: number
-  /** Proposals that wait for their commit; more are refused. */
-  readonly pendingProposals: number
-  /** Entries after which a snapshot is made, besides a quarter of the size of the state. */
+  /** Maximum number of proposals waiting for their commit; further ones are refused. */
+  readonly maxPendingProposals: number
+  /** Entries between snapshots, in addition to a quarter of the number of items in the state. */
   readonly snapshotEvery: number
-  /** Entries kept in memory behind a snapshot, for followers that are a little behind. */
+  /** Entries up to the snapshot that stay in memory, for followers that are slightly behind. */
   readonly entriesKept: number
 }
 
 /** @public */
 export const defaultVoterLimits: VoterLimits = {
   entriesPerMessage: 256,
-  pendingProposals: 10_000,
+  maxPendingProposals: 10_000,
   snapshotEvery: 4_096,
   entriesKept: 1_024,
 }
@@ -68,9 +72,9 @@
   readonly timing?: Partial<VoterTiming>
   readonly limits?: Partial<VoterLimits>
   readonly state?: ControlStateOptions
-  /** Voters that may be lost at once; the leader grows the set until it bears that. One by default. */
+  /** Voters that may be lost at once; the leader grows the set to tolerate that. One by default. */
   readonly toleratedLosses?: number
-  /** Replaced by randomised runs only, to see that they notice. @internal */
+  /** Overridden only by randomized tests, to verify that they detect broken rules. @internal */
   readonly rules?: QuorumRules
 }
 
@@ -81,32 +85,31 @@
   readonly timing: VoterTiming
   readonly limits: VoterLimits
   readonly state: ControlStateOptions
-  /** The set is grown up to this many voters. */
-  readonly wantedVoters: number
+  /** Number of voters up to which the leader grows the set. */
+  readonly targetVoterCount: number
 }
 
-/** Voters that may be lost at once where nothing else is asked for. */
 const DEFAULT_TOLERATED_LOSSES = 1
 
 /** @internal */
-export function completeOptions(options: VoterMachineOptions): VoterConfig {
+export function resolveOptions(options: VoterMachineOptions): VoterConfig {
   return {
     instance: options.instance,
     seed: options.seed,
     timing: { ...defaultVoterTiming, ...options.timing },
     limits: { ...defaultVoterLimits, ...options.limits },
     state: options.state ?? defaultControlStateOptions,
-    // A majority is left after the loss of any so many of them.
-    wantedVoters: 2 * (options.toleratedLosses ?? DEFAULT_TOLERATED_LOSSES) + 1,
+    // With 2n + 1 voters a majority remains after the loss of any n of them.
+    targetVoterCount: 2 * (options.toleratedLosses ?? DEFAULT_TOLERATED_LOSSES) + 1,
   }
 }
 
-/** What a voter finds on its disk. @public */
+/** State that a voter reads from its disk at start. @public */
 export interface StoredVoter {
   readonly diskId: string
   readonly term: number
   readonly votedFor: string
-  /** Missing on a disk that has not yet been filled by a leader. */
+  /** Undefined on a new disk until a leader installs a snapshot on it. */
   readonly snapshot: ControlSnapshot | undefined
   /** Entries after the snapshot. */
   readonly entries: readonly LogEntry[]
--- a/packages/control/src/lib/voter/VoterRepair.test.ts
+++ b/packages/control/src/lib/voter/VoterRepair.test.ts
@@ -1,7 +1,7 @@
 /**
- * A deployment that had to bear two lost instances stood still when one had lost its disk and
- * another was cut off: its set had three voters whatever it had to bear, so that nobody had a
- * majority until one of them was back, and callers were refused for all that time.
+ * Guards against an outage of a deployment that must tolerate the loss of two instances. Its set
+ * always had three voters, so when one lost its disk and another was partitioned, there was no
+ * majority, and callers were refused until one of the two came back.
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
@@ -26,7 +26,7 @@
   return votersOf(cluster).filter((disk) => !disk.startsWith('(')).length
 }
 
-/** Bears two losses: three first voters, and spare hosts that join as learners. */
+/** A cluster that tolerates two losses: three initial voters, and spares that join as learners. */
 function simulateGroup(spares: readonly string[]): SimulatedCluster {
   const cluster = simulate({ spares, toleratedLosses: 2 })
   for (const spare of spares) addLearner(cluster, spare)
@@ -52,14 +52,14 @@
   },
 }
 
-describe('a set of voters that has to bear two losses at once', () => {
-  it('grows to five from the first three once two more have caught up', () => {
+describe('a voter set that tolerates two simultaneous losses', () => {
+  it('grows from three voters to five once two learners have caught up', () => {
     const cluster = simulateGroup(['d', 'e'])
     assert.equal(countVoters(cluster), 5)
   })
 
   for (const spares of [[], ['d']]) {
-    it(`stays at three with ${3 + spares.length} hosts, where a fourth would bear no more`, () => {
+    it(`stays at three with ${3 + spares.length} hosts: four voters tolerate no more losses`, () => {
       const cluster = simulateGroup(spares)
       assert.equal(countVoters(cluster), 3)
     })
@@ -71,7 +71,7 @@
     assert.equal(votersOf(cluster).length, 6)
   })
 
-  it('decides on after any two are lost, with the leader and without', () => {
+  it('keeps committing after any two are lost, whether or not one of them leads', () => {
     for (const [first, loseFirst] of Object.entries(losses)) {
       for (const [second, loseSecond] of Object.entries(losses)) {
         for (const withLeader of [true, false]) {
@@ -89,7 +89,7 @@
     }
   })
 
-  it('is whole again after two disks are lost, and bears two more', () => {
+  it('is restored to five voters after two disks are lost, and tolerates two more losses', () => {
     const cluster = simulateGroup(['d', 'e'])
     decide(cluster, awaitLeader(cluster), setPreset('before', 'peak', 1))
     const lostDisks = ['a', 'd'].map((lost) => cluster.diskId(lost))
@@ -108,7 +108,7 @@
     assert.equal(resultOf(decide(cluster, next, setPreset('after', 'maintenance', 2))), 'APPLIED')
   })
 
-  it('counts on silent voters, whose disks hold what two others may lose', () => {
+  it('keeps silent voters, whose disks hold entries that two others then lose', () => {
     const cluster = simulateGroup(['d', 'e'])
     const leader = awaitLeader(cluster)
     const [one = '', other = '', third = '', fourth = ''] = HOSTS.filter(
--- a/packages/control/src/lib/voter/VoterRepair.ts
+++ b/packages/control/src/lib/voter/VoterRepair.ts
@@ -8,14 +8,16 @@
 import type { VoterCore } from './VoterCore'
 
 /**
- * Decides which changes of the voters are safe now, and which the leader makes on its own.
+ * Decides which membership changes are safe now, and which ones the leader proposes on its own.
  *
- * The set grows by two at a time, up to the size that bears the losses asked for, and never shrinks
- * below that for silence: the disks of silent voters hold what others may still lose.
+ * The set grows by two voters at a time, up to the size that tolerates the configured losses.
+ * Silence alone never shrinks it below that size: the disks of silent voters hold entries that the
+ * other voters may still lose.
  *
- * A voter that is gone is removed before its successor is promoted: in between, as many losses are
- * borne as before. One that is only silent may be needed again, if another is lost: a learner is
- * promoted first, and the silent one goes when the larger set is committed.
+ * A voter that is permanently lost is removed before its replacement is promoted; the smaller set
+ * tolerates as many further losses as the set did before. A voter that is only silent may be needed
+ * again if another one is lost, so a learner is promoted first, and the silent voter is removed
+ * once the larger set is committed.
  *
  * @internal
  */
@@ -28,45 +30,48 @@
     this.#replication = replication
   }
 
-  /** Why a change must not be made now. */
-  check(now: number, change: ChangeVoters): Result<void, string> {
+  /** Returns the reason if the change must not be made now. */
+  validate(now: number, change: ChangeVoters): Result<void, string> {
     const { log, commitIndex, term, members } = this.#core
     if (log.termAt(commitIndex) !== term) return Err('the leader has committed nothing yet')
     const pending = log.slice(commitIndex + 1)
     if (pending.some(({ command }) => command?.change.case === 'changeVoters')) {
       return Err('another change of the voters is not yet committed')
     }
-    const promotes = change.kind === VoterChangeKind.PROMOTE
-    if (promotes && !this.#hasCaughtUp(now, change.diskId)) {
+    const isPromotion = change.kind === VoterChangeKind.PROMOTE
+    if (isPromotion && !this.#hasCaughtUp(now, change.diskId)) {
       return Err(`disk ${change.diskId} has not caught up`)
     }
     const changed = changeMembers(members, change)
-    if (changed.err || this.#isReachable(now, changed.val)) return Ok.EMPTY
+    if (changed.err || this.#hasReachableMajority(now, changed.val)) return Ok.EMPTY
     return Err('no majority of the changed set can be reached')
   }
 
-  /** The change that the leader should make by itself, if any. */
-  next(now: number): ChangeVoters | undefined {
+  /** The change that the leader should propose on its own, if any. */
+  nextChange(now: number): ChangeVoters | undefined {
     const { members, config } = this.#core
     const ready = members.filter(({ learner, diskId }) => {
       return learner && this.#hasCaughtUp(now, diskId)
     })
     const voters = members.filter((member) => !member.learner)
     const isEven = voters.length % 2 === 0
-    const isShort = voters.length < config.wantedVoters
-    // An even set bears no more losses than the odd one below it: it is made whole first.
-    if (isEven && isShort && ready[0] !== undefined) return this.#promote(ready[0], now)
-    const gone = members.find((member) => this.#isGone(now, member, ready))
-    if (gone !== undefined) return this.#remove(gone, now)
+    const isBelowTarget = voters.length < config.targetVoterCount
+    // An even set tolerates no more losses than the odd set below it, so it is completed first.
+    if (isEven && isBelowTarget && ready[0] !== undefined) return this.#promote(ready[0], now)
+    const lost = members.find((member) => this.#isPermanentlyLost(now, member, ready))
+    if (lost !== undefined) return this.#remove(lost, now)
     const silent = voters.find(({ diskId }) => this.#isSilent(now, diskId))
     if (isEven && voters.length > 2 && silent !== undefined) return this.#remove(silent, now)
-    const canGrow = isShort && ready.length >= 2
-    const isWanted = isEven || silent !== undefined || canGrow
-    return ready[0] !== undefined && isWanted ? this.#promote(ready[0], now) : undefined
+    const canGrow = isBelowTarget && ready.length >= 2
+    const mayPromote = isEven || silent !== undefined || canGrow
+    return ready[0] !== undefined && mayPromote ? this.#promote(ready[0], now) : undefined
   }
 
-  /** It can't come back: an instance has one disk, and there is a new one in its place. */
-  #isGone(now: number, member: Voter, ready: readonly Voter[]): boolean {
+  /**
+   * True if the member has lost entries, or if its disk cannot come back: an instance has a single
+   * disk, and a learner with a new disk has caught up in the same instance.
+   */
+  #isPermanentlyLost(now: number, member: Voter, ready: readonly Voter[]): boolean {
     const { diskId, instance } = member
     if (diskId === this.#core.diskId || ready.includes(member)) return false
     if (this.#replication.hasLostEntries(diskId)) return true
@@ -81,14 +86,15 @@
   #hasCaughtUp(now: number, diskId: string): boolean {
     const silentMs = this.#replication.silentMs(now, diskId)
     if (silentMs > this.#core.config.timing.electionMinMs) return false
-    return this.#replication.matchOf(diskId) >= this.#core.commitIndex
+    return this.#replication.matchIndexOf(diskId) >= this.#core.commitIndex
   }
 
-  #isReachable(now: number, members: readonly Voter[]): boolean {
+  #hasReachableMajority(now: number, members: readonly Voter[]): boolean {
     const { electionMinMs } = this.#core.config.timing
     const reachable = members.filter(({ diskId, learner }) => {
-      // Being newly elected is no sign of a member: it must have accepted something in this term.
-      if (learner || this.#replication.matchOf(diskId) < 0) return false
+      // The contact times start at the election, so they prove nothing about a member until it has
+      // accepted a message in this term.
+      if (learner || this.#replication.matchIndexOf(diskId) < 0) return false
       return this.#replication.silentMs(now, diskId) <= electionMinMs
     })
     return reachable.length >= majorityOf(members)
@@ -99,8 +105,8 @@
     return this.#change(VoterChangeKind.PROMOTE, learner, reason, now)
   }
 
-  #remove(lost: Voter, now: number): ChangeVoters {
-    return this.#change(VoterChangeKind.REMOVE, lost, 'the disk is lost', now)
+  #remove(voter: Voter, now: number): ChangeVoters {
+    return this.#change(VoterChangeKind.REMOVE, voter, 'the disk is lost', now)
   }
 
   #change(
--- a/packages/control/src/lib/voter/answerRead.ts
+++ b/packages/control/src/lib/voter/answerRead.ts
@@ -1,12 +1,12 @@
 import type { ReadControl, VotersStatus } from '@cherryhitch/protocol'
 import type { VoterCore } from './VoterCore'
 
-/** Records of the audit in one reply at most. */
+/** Maximum number of audit records in a reply. */
 const MAX_AUDIT_PAGE = 1_000
 
 /**
- * Answers a read. Without a status it was not confirmed by a majority; then the settings are the
- * newest that this voter knows of.
+ * Answers a read. Without `voters` the read was not confirmed by a majority, and the reply holds
+ * only the newest settings that this voter knows of.
  *
  * @internal
  */
