--- a/packages/policy/src/lib/estimates/LearnedEstimator.test.ts
+++ b/packages/policy/src/lib/estimates/LearnedEstimator.test.ts
@@ -11,12 +11,12 @@
 }
 
 describe('learned run times', () => {
-  it('believes a caller that it does not know', () => {
+  it('uses the declared run time of an unknown caller', () => {
     assert.ok(factor(new LearnedEstimator().estimate(subject(420)), 420) < 1.01)
   })
 
   for (const declaredMs of [20, 200, 2000, 0]) {
-    it(`finds 200 ms within 40 tasks that declare ${declaredMs}`, () => {
+    it(`learns 200 ms within 40 tasks that declare ${declaredMs}`, () => {
       const estimator = new LearnedEstimator()
       for (let n = 0; n < 40; n++) estimator.observe(n, subject(declaredMs), 180 + (n % 5) * 10)
       assert.ok(factor(estimator.estimate(subject(declaredMs)), 200) < 1.3)
@@ -33,21 +33,21 @@
     assert.ok(factor(estimator.estimate(subject(9000)), 900) < 1.3)
   })
 
-  it('is moved little by one task that took a hundred times as long', () => {
+  it('changes little after one task that took a hundred times as long', () => {
     const estimator = new LearnedEstimator()
     for (let n = 0; n < 50; n++) estimator.observe(n, subject(0), 200)
     estimator.observe(51, subject(0), 20_000)
     assert.ok(factor(estimator.estimate(subject(0)), 200) < 1.2)
   })
 
-  it('follows a lasting change', () => {
+  it('adapts to a lasting change', () => {
     const estimator = new LearnedEstimator()
     for (let n = 0; n < 100; n++) estimator.observe(n, subject(0), 200)
     for (let n = 0; n < 200; n++) estimator.observe(n, subject(0), 800)
     assert.ok(factor(estimator.estimate(subject(0)), 800) < 1.3)
   })
 
-  it('rises by tasks that were stopped before their end, and never falls by them', () => {
+  it('rises after tasks that were stopped before their end, and never falls', () => {
     const estimator = new LearnedEstimator()
     for (let n = 0; n < 5; n++) estimator.observeAtLeast(n, subject(60), 300)
     assert.ok(estimator.estimate(subject(60)) > 200)
@@ -56,13 +56,13 @@
     assert.equal(estimator.estimate(subject(60)), before)
   })
 
-  it('starts a new caller from its service', () => {
+  it('starts the estimate for a new caller from that of its service', () => {
     const estimator = new LearnedEstimator()
     for (let n = 0; n < 50; n++) estimator.observe(n, subject(0, `c${n}`), 1500)
     assert.ok(factor(estimator.estimate(subject(0, 'new')), 1500) < 1.5)
   })
 
-  it('forgets the pair unused for longest', () => {
+  it('evicts the least recently used pair', () => {
     const estimator = new LearnedEstimator({ maxPairs: 2, maxServices: 1, priorWeight: 1 })
     const of = (service: string) => ({ caller: 'c', service, declaredMs: 0 })
     for (let n = 0; n < 30; n++) estimator.observe(n, of('a'), 5000)
--- a/packages/policy/src/lib/estimates/LearnedEstimator.ts
+++ b/packages/policy/src/lib/estimates/LearnedEstimator.ts
@@ -5,18 +5,18 @@
 
 /** @public */
 export interface LearnedEstimatorOptions {
-  /** Used where nothing is declared or known, in milliseconds. */
+  /** Used when no run time is declared or learned, in milliseconds. */
   readonly defaultMs: number
-  /** Observations that a prior is worth. */
+  /** Weight of a prior, as a number of observations. */
   readonly priorWeight: number
-  /** Pairs of caller and service that are remembered. */
+  /** Pairs of caller and service that are kept; the least recently used ones are evicted. */
   readonly maxPairs: number
   readonly maxServices: number
 }
 
 /**
- * `defaultMs` lies in the middle of the usual 50 ms to 1 s, by the users' pages; the others are
- * measured in `docs/design/estimates.md`.
+ * `defaultMs` is the middle of the typical range of run times, 50 ms to 1 s. See
+ * `docs/design/estimates.md` for the measurements behind the other defaults.
  *
  * @public
  */
@@ -27,62 +27,62 @@
   maxServices: 500,
 }
 
-/** Estimates stay within these, in milliseconds. */
+/** Bounds of an estimate, in milliseconds. */
 const MIN_ESTIMATE_MS = 1
 const MAX_ESTIMATE_MS = 3_600_000
-/** Observations over which the errors of the two models are compared. */
-const ERROR_MEMORY = 30
-/** A spread beyond this would let a few outliers inflate the mean. */
+/** Number of observations over which the errors of the two models are averaged. */
+const ERROR_WINDOW = 30
+/** Limits the deviation of the logarithms, so that a few outliers do not inflate the mean. */
 const MAX_DEVIATION = 1
 
-/** What is learnt of one caller's tasks of one service, or of a whole service. */
-class Learner {
-  /** Of the run time itself. */
-  readonly plain = new RunTimeModel()
-  /** Of the run time over the declared one. */
+/** Run times learned for one caller's tasks of one service, or for a whole service. */
+class RunTimeLearner {
+  /** Model of the run time. */
+  readonly absolute = new RunTimeModel()
+  /** Model of the ratio of the run time to the declared one. */
   readonly ratio = new RunTimeModel()
-  private plainError = 0
+  private absoluteError = 0
   private ratioError = 0
-  private compared = 0
+  private comparisons = 0
 
-  /** Whether scaling what is declared has been the better guess. */
-  get trustsDeclared(): boolean {
-    return this.compared > 0 && this.ratioError < this.plainError
+  /** Whether scaling the declared run time has predicted better. */
+  get prefersRatio(): boolean {
+    return this.comparisons > 0 && this.ratioError < this.absoluteError
   }
 
   observe(declaredMs: number, runMs: number): void {
     const log = Math.log(Math.max(MIN_ESTIMATE_MS, runMs))
     if (declaredMs > 0) {
       const ratioLog = log - Math.log(declaredMs)
-      this.compare(log - this.plain.center, ratioLog - this.ratio.center)
+      this.compare(log - this.absolute.center, ratioLog - this.ratio.center)
       this.ratio.observe(ratioLog)
     }
-    this.plain.observe(log)
+    this.absolute.observe(log)
   }
 
-  private compare(plainError: number, ratioError: number): void {
-    // The first observations of either model say nothing yet.
-    if (this.plain.count < 2 || this.ratio.count < 2) return
-    this.compared = Math.min(ERROR_MEMORY, this.compared + 1)
-    this.plainError += (Math.abs(plainError) - this.plainError) / this.compared
-    this.ratioError += (Math.abs(ratioError) - this.ratioError) / this.compared
+  private compare(absoluteError: number, ratioError: number): void {
+    // The error of a model's first observation is meaningless, as nothing was predicted yet.
+    if (this.absolute.count < 2 || this.ratio.count < 2) return
+    this.comparisons = Math.min(ERROR_WINDOW, this.comparisons + 1)
+    this.absoluteError += (Math.abs(absoluteError) - this.absoluteError) / this.comparisons
+    this.ratioError += (Math.abs(ratioError) - this.ratioError) / this.comparisons
   }
 }
 
 /**
- * Learns run times for each caller and service. What a caller declares is a prior whose weight
- * falls with each observation; where declared times differ from task to task and turn out to be
- * in proportion, the estimate scales them, however far off they are.
+ * Learns run times per caller and service. The run time that a caller declares is a prior whose
+ * weight falls with each observation. Where declared run times vary between tasks and prove to be
+ * proportional to the real ones, the estimate scales them, however far off they are.
  *
- * Estimates are means, as sums of work need them: the mean of the logarithms with half of the
- * variance added.
+ * Estimates are means, because they are summed to amounts of work. The mean of a log-normal
+ * distribution is the exponential of the mean of the logarithms plus half of their variance.
  *
  * @public
  */
 export class LearnedEstimator extends RunTimeEstimator {
   private readonly options: LearnedEstimatorOptions
-  private readonly pairs: LruMap<string, Learner>
-  private readonly services: LruMap<string, Learner>
+  private readonly pairs: LruMap<string, RunTimeLearner>
+  private readonly services: LruMap<string, RunTimeLearner>
 
   constructor(options: Partial<LearnedEstimatorOptions> = {}) {
     super()
@@ -94,12 +94,12 @@
   override estimate(subject: EstimateSubject): number {
     const pair = this.pairs.get(pairKey(subject))
     const prior = this.priorLog(subject)
-    if (pair === undefined) return bounded(Math.exp(prior))
-    const { log, model } = bestGuess(pair, subject.declaredMs)
+    if (pair === undefined) return clampEstimate(Math.exp(prior))
+    const { log, model } = bestPrediction(pair, subject.declaredMs)
     const { priorWeight } = this.options
     const deviation = Math.min(MAX_DEVIATION, model.deviation)
     const center = (priorWeight * prior + model.count * log) / (priorWeight + model.count)
-    return bounded(Math.exp(center + deviation ** 2 / 2))
+    return clampEstimate(Math.exp(center + deviation ** 2 / 2))
   }
 
   override observe(_now: number, subject: EstimateSubject, runMs: number): void {
@@ -111,29 +111,32 @@
     if (runMs > this.estimate(subject)) this.observe(now, subject, runMs)
   }
 
-  /** What to believe of a caller that is new: its own word, weighed with its service's record. */
+  /** Prior of a caller, as a logarithm: its declared run time averaged with its service's model. */
   private priorLog({ service, declaredMs }: EstimateSubject): number {
     const { defaultMs, priorWeight } = this.options
-    const told = Math.log(declaredMs > 0 ? declaredMs : defaultMs)
+    const declaredLog = Math.log(declaredMs > 0 ? declaredMs : defaultMs)
     const learner = this.services.get(service)
-    if (learner === undefined) return told
-    const { log, model } = bestGuess(learner, declaredMs)
-    return (priorWeight * told + model.count * log) / (priorWeight + model.count)
+    if (learner === undefined) return declaredLog
+    const { log, model } = bestPrediction(learner, declaredMs)
+    return (priorWeight * declaredLog + model.count * log) / (priorWeight + model.count)
   }
 }
 
-function bestGuess(learner: Learner, declaredMs: number): { log: number; model: RunTimeModel } {
-  const { plain, ratio } = learner
-  if (declaredMs > 0 && learner.trustsDeclared) {
+function bestPrediction(
+  learner: RunTimeLearner,
+  declaredMs: number,
+): { log: number; model: RunTimeModel } {
+  const { absolute, ratio } = learner
+  if (declaredMs > 0 && learner.prefersRatio) {
     return { log: Math.log(declaredMs) + ratio.center, model: ratio }
   }
-  return { log: plain.center, model: plain }
+  return { log: absolute.center, model: absolute }
 }
 
-function learnerOf(learners: LruMap<string, Learner>, key: string): Learner {
+function learnerOf(learners: LruMap<string, RunTimeLearner>, key: string): RunTimeLearner {
   const known = learners.get(key)
   if (known !== undefined) return known
-  const learner = new Learner()
+  const learner = new RunTimeLearner()
   learners.set(key, learner)
   return learner
 }
@@ -142,6 +145,6 @@
   return `${caller}/${service}`
 }
 
-function bounded(ms: number): number {
+function clampEstimate(ms: number): number {
   return Math.min(MAX_ESTIMATE_MS, Math.max(MIN_ESTIMATE_MS, ms))
 }
--- a/packages/policy/src/lib/estimates/RunTimeEstimator.ts
+++ b/packages/policy/src/lib/estimates/RunTimeEstimator.ts
@@ -1,4 +1,4 @@
-/** What an estimate may depend on. @public */
+/** Attributes of a task that an estimate may depend on. @public */
 export interface EstimateSubject {
   readonly caller: string
   readonly service: string
@@ -12,6 +12,6 @@
   abstract estimate(subject: EstimateSubject): number
   /** Learns from a task that ran to its end. */
   abstract observe(now: number, subject: EstimateSubject, runMs: number): void
-  /** Learns from a task that has run for so long, and whose end is not known. */
+  /** Learns from a task of which only a lower bound of its run time is known. */
   abstract observeAtLeast(now: number, subject: EstimateSubject, runMs: number): void
 }
--- a/packages/policy/src/lib/estimates/RunTimeModel.ts
+++ b/packages/policy/src/lib/estimates/RunTimeModel.ts
@@ -1,25 +1,25 @@
-/** Observations after which older ones fade. */
-const MEMORY = 50
-/** Observations beyond this many deviations are moved to there before they are learnt. */
+/** Number of observations after which the mean becomes an exponential moving average. */
+const WINDOW = 50
+/** Observations are clipped to this many deviations from the mean. */
 const CLIP_DEVIATIONS = 2.5
-/** Deviation of log run times before anything was seen: a factor of about two. */
+/** Deviation of log run times before any observation: a factor of about two. */
 const INITIAL_DEVIATION = 0.8
-/** A model never takes itself for better than this, so that it can follow a change. */
+/** Lower bound of the deviation, so that clipping does not stop the model from adapting. */
 const MIN_DEVIATION = 0.2
 
 /**
- * Mean and spread of a quantity in log space, robust against outliers: each observation is
- * clipped, and old ones fade.
+ * Mean and deviation of a quantity in log space. Observations are clipped, so that outliers have
+ * little effect, and the weight of old ones decays.
  *
  * @internal
  */
 export class RunTimeModel {
-  private seen = 0
+  private observations = 0
   private meanLog = 0
   private variance = INITIAL_DEVIATION ** 2
 
   get count(): number {
-    return this.seen
+    return this.observations
   }
 
   get deviation(): number {
@@ -32,14 +32,14 @@
   }
 
   observe(log: number): void {
-    this.seen = Math.min(MEMORY, this.seen + 1)
-    if (this.seen === 1) {
+    this.observations = Math.min(WINDOW, this.observations + 1)
+    if (this.observations === 1) {
       this.meanLog = log
       return
     }
     const limit = CLIP_DEVIATIONS * this.deviation
     const error = Math.min(limit, Math.max(-limit, log - this.meanLog))
-    this.meanLog += error / this.seen
-    this.variance += (error ** 2 - this.variance) / this.seen
+    this.meanLog += error / this.observations
+    this.variance += (error ** 2 - this.variance) / this.observations
   }
 }
--- a/packages/policy/src/lib/estimates/createRunTimeEstimator.ts
+++ b/packages/policy/src/lib/estimates/createRunTimeEstimator.ts
@@ -1,7 +1,7 @@
 import { LearnedEstimator } from './LearnedEstimator'
 import type { RunTimeEstimator } from './RunTimeEstimator'
 
-/** Makes the estimator that coordinators use. @public */
+/** Creates the estimator that coordinators use. @public */
 export function createRunTimeEstimator(): RunTimeEstimator {
   return new LearnedEstimator()
 }
--- a/packages/policy/src/lib/order/CallerTally.ts
+++ b/packages/policy/src/lib/order/CallerTally.ts
@@ -7,7 +7,7 @@
 
 const noLoad: Readonly<CallerLoad> = { tasks: 0, workMs: 0 }
 
-/** Counts waiting tasks and their work, in total and for each caller. @internal */
+/** Counts waiting tasks and sums their work, in total and per caller. @internal */
 export class CallerTally {
   private readonly loads = new Map<string, CallerLoad>()
   private total: CallerLoad = { tasks: 0, workMs: 0 }
@@ -40,7 +40,7 @@
     if (load === undefined) return
     this.change(load, -1, -task.estimateMs)
     if (load.tasks === 0) this.loads.delete(task.caller)
-    // Sums of fractions drift; an empty queue holds exactly nothing.
+    // Floating-point sums drift, so the total is reset to exactly 0 when the queue is empty.
     if (this.total.tasks === 0) this.total = { tasks: 0, workMs: 0 }
   }
 
--- a/packages/policy/src/lib/order/FifoQueue.ts
+++ b/packages/policy/src/lib/order/FifoQueue.ts
@@ -45,7 +45,7 @@
   }
 
   override noteProgress(): void {
-    // Arrival alone decides here.
+    // The order depends on arrival only.
   }
 
   override sizeOf(caller: string): number {
--- a/packages/policy/src/lib/order/JobLane.ts
+++ b/packages/policy/src/lib/order/JobLane.ts
@@ -3,11 +3,11 @@
 import type { QueuedTask } from './TaskQueue'
 import type { WaitingJob } from './WaitingJob'
 
-/** The waiting tasks of one job that ask for the same resources, the longest ones first. @internal */
+/** The waiting tasks of one job that request the same resources, longest first. @internal */
 export class JobLane<T extends QueuedTask> implements HeapItem {
   heapIndex = -1
   heapKey = 0
-  /** Shortest first, so that the next task is taken from the end. */
+  /** Shortest first, so that the next task is popped from the end. */
   private readonly tasks: T[] = []
 
   constructor(
@@ -26,7 +26,7 @@
   add(task: T): void {
     let low = 0
     let high = this.tasks.length
-    // A task goes before its equals, so that equals leave in the order they came.
+    // Inserts a task before those of equal length, so that these are popped in order of arrival.
     while (low < high) {
       const middle = (low + high) >> 1
       const other = this.tasks[middle]
@@ -36,7 +36,7 @@
     this.tasks.splice(low, 0, task)
   }
 
-  take(task: T): void {
+  remove(task: T): void {
     if (this.next === task) this.tasks.pop()
     else this.tasks.splice(this.tasks.indexOf(task), 1)
   }
--- a/packages/policy/src/lib/order/LaneGroup.ts
+++ b/packages/policy/src/lib/order/LaneGroup.ts
@@ -3,7 +3,7 @@
 import type { JobLane } from './JobLane'
 import type { QueuedTask } from './TaskQueue'
 
-/** The lanes of all jobs that ask for the same resources, in order. @internal */
+/** The lanes of all jobs that request the same resources, in order of rank. @internal */
 export class LaneGroup<T extends QueuedTask> implements HeapItem {
   heapIndex = -1
   heapKey = Infinity
@@ -11,7 +11,7 @@
 
   constructor(readonly resources: string) {}
 
-  /** Copies the key of the first lane, by which groups are ordered. */
+  /** Updates the group's own key, by which groups are ordered, to that of its first lane. */
   refreshKey(): void {
     this.heapKey = this.lanes.peek()?.heapKey ?? Infinity
   }
--- a/packages/policy/src/lib/order/LeastWorkQueue.ts
+++ b/packages/policy/src/lib/order/LeastWorkQueue.ts
@@ -3,8 +3,8 @@
 import type { WaitingJob } from './WaitingJob'
 
 /**
- * Serves the job with the least work left first, whatever waits. The best mean response time
- * of all orders, but large jobs may starve: a yardstick, in no preset.
+ * Serves the job with the least remaining work first. This order has the lowest mean response time,
+ * but large jobs may starve. It serves as a reference for comparison; no preset selects it.
  *
  * @public
  */
@@ -13,11 +13,11 @@
     return job.unstartedWorkMs
   }
 
-  protected override postpone(): boolean {
+  protected override adjustRank(): boolean {
     return false
   }
 
-  protected override noteArrival(): void {
-    // Neither the caller nor the time of arrival counts.
+  protected override onJobArrival(): void {
+    // The rank depends on neither the caller nor the time of arrival.
   }
 }
--- a/packages/policy/src/lib/order/RankedQueue.ts
+++ b/packages/policy/src/lib/order/RankedQueue.ts
@@ -6,16 +6,16 @@
 import type { QueuedTask } from './TaskQueue'
 import { WaitingJob } from './WaitingJob'
 
-/** Jobs asked per group of equal resources when the first ones do not fit. */
+/** Jobs tried per group of equal resources before the rest of the group is skipped. */
 const PROBES_PER_GROUP = 8
 
 /**
- * A queue that orders whole jobs by a rank and takes tasks from the first job that fits.
+ * A queue that orders jobs by rank and takes tasks from the first job that fits.
  *
- * Push, pop, remove and noteProgress take O(log n). Tasks that ask for the same resources share
- * a group: when the first few jobs of a group do not fit, the rest of it is passed over, so a
- * queue full of tasks that do not fit costs little. `fits` should therefore depend on what a
- * task asks for and little else.
+ * Push, pop, remove and noteProgress take O(log n). Tasks that request the same resources share a
+ * group. When the first few jobs of a group do not fit, the rest of the group is skipped, so that a
+ * queue full of tasks that do not fit costs little. `fits` should therefore depend on the resources
+ * that a task requests and little else.
  *
  * @public
  */
@@ -25,7 +25,7 @@
   private readonly jobs = new Map<string, WaitingJob<T>>()
   private readonly groups = new Map<string, LaneGroup<T>>()
   private readonly groupOrder = new IndexedHeap<LaneGroup<T>>()
-  /** No waiting task's deadline is earlier. */
+  /** Lower bound of the deadlines of all waiting tasks. */
   private earliestDeadline = Infinity
 
   override get size(): number {
@@ -36,14 +36,18 @@
     return this.tally.workMs
   }
 
-  /** Instant by which the job should be served; the smallest goes first. */
+  /** Sort key of the job; the lowest rank is served first. */
   protected abstract rank(job: WaitingJob<T>): number
 
-  /** Called before a job's next task is handed out; true when its rank was changed instead. */
-  protected abstract postpone(now: number, job: WaitingJob<T>): boolean
+  /**
+   * Called before the next task of a job is popped.
+   *
+   * @returns true when the rank of the job changed, so that the queue must be reordered first
+   */
+  protected abstract adjustRank(now: number, job: WaitingJob<T>): boolean
 
-  /** Called when the first task of a job arrives. */
-  protected abstract noteArrival(now: number, job: WaitingJob<T>): void
+  /** Called when a job without waiting tasks gets its first one. */
+  protected abstract onJobArrival(now: number, job: WaitingJob<T>): void
 
   override push(now: number, task: T): void {
     if (this.byId.has(task.taskId)) return
@@ -57,20 +61,20 @@
   }
 
   override pop(now: number, fits: (task: T) => boolean): T | undefined {
-    const passed: LaneGroup<T>[] = []
+    const skipped: LaneGroup<T>[] = []
     let found: T | undefined
     for (let group = this.groupOrder.peek(); group !== undefined; group = this.groupOrder.peek()) {
       const next = group.lanes.peek()
-      if (next !== undefined && this.postpone(now, next.job)) {
+      if (next !== undefined && this.adjustRank(now, next.job)) {
         this.reorder(next.job)
         continue
       }
       found = this.probe(group, fits)
       if (found !== undefined) break
       this.groupOrder.remove(group)
-      passed.push(group)
+      skipped.push(group)
     }
-    for (const group of passed) this.groupOrder.push(group)
+    for (const group of skipped) this.groupOrder.push(group)
     return found === undefined ? undefined : this.remove(found.taskId)
   }
 
@@ -80,7 +84,7 @@
     if (task === undefined || job === undefined) return undefined
     this.byId.delete(taskId)
     this.tally.subtract(task)
-    job.take(task)
+    job.remove(task)
     this.takeFromLane(job, task)
     if (job.waiting.size === 0) this.jobs.delete(job.jobId)
     else this.reorder(job)
@@ -123,19 +127,19 @@
     return this.byId.values()
   }
 
-  /** The first task of the group that fits, among its first few jobs. */
+  /** Finds the first task that fits among the first few jobs of the group. */
   private probe(group: LaneGroup<T>, fits: (task: T) => boolean): T | undefined {
     const first = group.lanes.peek()?.next
     if (first !== undefined && fits(first)) return first
-    const passed: JobLane<T>[] = []
+    const skipped: JobLane<T>[] = []
     let found: T | undefined
-    while (found === undefined && passed.length < PROBES_PER_GROUP) {
+    while (found === undefined && skipped.length < PROBES_PER_GROUP) {
       const lane = group.lanes.pop()
       if (lane === undefined) break
-      passed.push(lane)
-      if (passed.length > 1 && lane.next !== undefined && fits(lane.next)) found = lane.next
+      skipped.push(lane)
+      if (skipped.length > 1 && lane.next !== undefined && fits(lane.next)) found = lane.next
     }
-    for (const lane of passed) group.lanes.push(lane)
+    for (const lane of skipped) group.lanes.push(lane)
     return found
   }
 
@@ -144,7 +148,7 @@
     if (known !== undefined) return known
     const job = new WaitingJob<T>(task.jobId, task.caller)
     this.jobs.set(task.jobId, job)
-    this.noteArrival(now, job)
+    this.onJobArrival(now, job)
     return job
   }
 
@@ -170,7 +174,7 @@
   private takeFromLane(job: WaitingJob<T>, task: T): void {
     const lane = job.lanes.get(resourcesKey(task))
     if (lane === undefined) return
-    lane.take(task)
+    lane.remove(task)
     if (!lane.isEmpty) return
     const { group } = lane
     job.lanes.delete(group.resources)
--- a/packages/policy/src/lib/order/TaskQueue.test.ts
+++ b/packages/policy/src/lib/order/TaskQueue.test.ts
@@ -61,7 +61,7 @@
 
 for (const { name, make } of queues) {
   describe(`any order: ${name}`, () => {
-    it('neither loses nor doubles a task, whatever is done to it', () => {
+    it('neither loses nor duplicates a task under random operations', () => {
       fc.assert(
         fc.property(fc.array(command, { maxLength: 120 }), (commands) => {
           const queue = make()
@@ -104,7 +104,7 @@
       )
     })
 
-    it('passes over what does not fit and keeps it', () => {
+    it('skips tasks that do not fit and keeps them', () => {
       const queue = make()
       const large = create(ResourcesSchema, { cores: 64 })
       for (let index = 0; index < 50; index++)
@@ -119,30 +119,30 @@
 }
 
 describe('the rate of a service', () => {
-  it('is about its slots, whatever filled them at first', () => {
+  it('is about the number of slots, whichever tasks filled them initially', () => {
     const rate = new ServiceRate()
-    for (let n = 0; n < 24; n++) rate.noteTaken(0, 200, true)
-    for (let now = 1; now <= 2400; now++) if (now % 25 === 0) rate.noteTaken(now, 200, true)
+    for (let n = 0; n < 24; n++) rate.recordPop(0, 200, true)
+    for (let now = 1; now <= 2400; now++) if (now % 25 === 0) rate.recordPop(now, 200, true)
     assert.ok(Math.abs(rate.read(2400) - 8) < 0.1, `${rate.read(2400)}`)
   })
 
-  it('learns nothing while nobody waits', () => {
+  it('does not change without a backlog', () => {
     const rate = new ServiceRate()
     const before = rate.read(0)
-    for (let now = 0; now < 10_000; now += 50) rate.noteTaken(now, 200, false)
+    for (let now = 0; now < 10_000; now += 50) rate.recordPop(now, 200, false)
     assert.equal(rate.read(10_000), before)
   })
 })
 
-describe('the order by due time', () => {
-  it('lets a single enquiry pass a job of many tasks', () => {
+describe('order by due time', () => {
+  it('serves a single-task job before a job of many tasks', () => {
     const queue = new DeadlineFairQueue<QueuedTask>()
     pushJob(queue, 'bulk', 120)
     pushJob(queue, 'enquiry', 1, { enqueuedAt: 50 })
     assert.equal(queue.pop(50, anything)?.jobId, 'enquiry')
   })
 
-  it('finishes what is nearly finished', () => {
+  it('prefers a job that is nearly finished', () => {
     const queue = new DeadlineFairQueue<QueuedTask>()
     pushJob(queue, 'fresh', 10)
     pushJob(queue, 'nearly', 2, { jobRemaining: 12 })
@@ -166,7 +166,7 @@
     assert.equal(queue.pop(1500, anything)?.jobId, 'bulk')
   })
 
-  it('lets a job that is late beyond help wait for those that can be on time', () => {
+  it('serves a job that can no longer meet its deadline after jobs that can', () => {
     const queue = new DeadlineFairQueue<QueuedTask>()
     pushJob(queue, 'hopeless', 1, { deadlineAt: 90, estimateMs: 200 })
     pushJob(queue, 'fine', 50, { deadlineAt: 60_000 })
@@ -185,7 +185,7 @@
     assert.ok(order.indexOf('other.0') < order.findIndex((id) => id.startsWith('more')))
   })
 
-  it('starves nobody: what comes later than the due time never overtakes', () => {
+  it('starves no job: jobs that arrive after its due time never overtake it', () => {
     const stretched = fc.record({
       tasks: fc.integer({ min: 1, max: 60 }),
       arrivals: fc.integer({ min: 1, max: 200 }),
--- a/packages/policy/src/lib/order/TaskQueue.ts
+++ b/packages/policy/src/lib/order/TaskQueue.ts
@@ -1,6 +1,6 @@
 import type { Resources } from '@cherryhitch/protocol'
 
-/** What the order of a queue may depend on. @public */
+/** Attributes of a task that the order of a queue may depend on. @public */
 export interface QueuedTask {
   readonly taskId: string
   readonly jobId: string
@@ -11,27 +11,28 @@
   readonly enqueuedAt: number
   /** Estimated run time in milliseconds. */
   readonly estimateMs: number
-  /** Tasks of the whole job without a result, when it was placed. */
+  /** Number of the job's tasks that had no result when this task was placed. */
   readonly jobRemaining: number
   readonly resources: Resources | undefined
   readonly attempt: number
 }
 
-/** Tasks of one service that wait at their owner. @public */
+/** The waiting tasks of one service at their owner. @public */
 export abstract class TaskQueue<T extends QueuedTask> {
   abstract readonly size: number
   /** Sum of the estimates of all waiting tasks, in milliseconds. */
   abstract readonly queuedWorkMs: number
   abstract push(now: number, task: T): void
-  /** Takes out the first task, in this queue's order, that `fits` accepts. */
+  /** Removes and returns the first task, in this queue's order, that `fits` accepts. */
   abstract pop(now: number, fits: (task: T) => boolean): T | undefined
   abstract remove(taskId: string): T | undefined
-  /** Takes out all tasks of a job. */
+  /** Removes and returns all tasks of a job. */
   abstract removeJob(jobId: string): readonly T[]
-  /** Takes out the tasks whose deadline has passed. */
+  /** Removes and returns the tasks whose deadline has passed. */
   abstract removeExpired(now: number): readonly T[]
-  /** Tells how many tasks of a job still lack a result, where the owner learns it. */
+  /** Updates the number of a job's tasks without a result, as far as the owner knows it. */
   abstract noteProgress(jobId: string, remaining: number): void
+  /** Number of waiting tasks of a caller. */
   abstract sizeOf(caller: string): number
   abstract has(taskId: string): boolean
   /** All waiting tasks, in no particular order. */
--- a/packages/policy/src/lib/order/WaitingJob.ts
+++ b/packages/policy/src/lib/order/WaitingJob.ts
@@ -1,28 +1,28 @@
 import type { JobLane } from './JobLane'
 import type { QueuedTask } from './TaskQueue'
 
-/** What a queue knows of one job with waiting tasks. @internal */
+/** State of one job with waiting tasks in a queue. @internal */
 export class WaitingJob<T extends QueuedTask> {
   readonly lanes = new Map<string, JobLane<T>>()
   readonly waiting = new Set<T>()
-  /** Earliest of its waiting tasks' instants. */
+  /** Earliest arrival among the tasks added so far. */
   enqueuedAt = Infinity
   deadlineAt = Infinity
   longestMs = 0
   workMs = 0
-  /** Tasks of the whole job that were not started, as far as this queue knows. */
+  /** Tasks of the whole job that have not started, as far as this queue knows. */
   unstarted = 0
-  /** Added to its rank, in milliseconds, where its caller had more than a fair share. */
+  /** Delay of the due time, in milliseconds, for a caller that exceeded its fair share. */
   penaltyMs = 0
-  /** It can no longer meet its deadline. */
-  isHopeless = false
+  /** Whether the job can no longer meet its deadline. */
+  isInfeasible = false
 
   constructor(
     readonly jobId: string,
     readonly caller: string,
   ) {}
 
-  /** Work of the whole job that was not started, estimated from the part that waits here. */
+  /** Work of the whole job that has not started, extrapolated from the tasks waiting here. */
   get unstartedWorkMs(): number {
     if (this.waiting.size === 0) return 0
     const meanMs = this.workMs / this.waiting.size
@@ -38,7 +38,7 @@
     this.longestMs = Math.max(this.longestMs, task.estimateMs)
   }
 
-  take(task: T): void {
+  remove(task: T): void {
     this.waiting.delete(task)
     this.workMs -= task.estimateMs
     this.unstarted -= 1
--- a/packages/policy/src/lib/order/createTaskQueue.ts
+++ b/packages/policy/src/lib/order/createTaskQueue.ts
@@ -4,7 +4,7 @@
 import { FifoQueue } from './FifoQueue'
 import type { QueuedTask, TaskQueue } from './TaskQueue'
 
-/** Makes the queue that a preset names. @public */
+/** Creates the queue selected by a preset. @public */
 export function createTaskQueue<T extends QueuedTask>(order: QueueOrder): TaskQueue<T> {
   switch (order) {
     case QueueOrder.UNSPECIFIED:
--- a/packages/policy/src/lib/util/DecayedSum.ts
+++ b/packages/policy/src/lib/util/DecayedSum.ts
@@ -1,9 +1,9 @@
-/** A sum whose parts fade exponentially with their age. @internal */
+/** A sum of amounts that decay exponentially with their age. @internal */
 export class DecayedSum {
   private value = 0
   private at = 0
 
-  /** @param tauMs - age at which a part counts 1/e */
+  /** @param tauMs - age at which an amount has decayed to 1/e, in milliseconds */
   constructor(private readonly tauMs: number) {}
 
   add(now: number, amount: number): void {
--- a/packages/policy/src/lib/util/IndexedHeap.ts
+++ b/packages/policy/src/lib/util/IndexedHeap.ts
@@ -1,12 +1,20 @@
-/** What a heap keeps in its items, so that one can be moved or taken out in O(log n). @internal */
+/**
+ * State that a heap stores in its items, so that an item can be moved or removed in O(log n).
+ *
+ * @internal
+ */
 export interface HeapItem {
-  /** Smallest first. */
+  /** Sort key; the smallest comes first. */
   heapKey: number
-  /** Place in the heap; -1 while it is in none. */
+  /** Index in the heap; -1 while the item is in no heap. */
   heapIndex: number
 }
 
-/** Binary heap whose items know their place. Equal keys come out in no particular order. @internal */
+/**
+ * Binary heap whose items store their index. Items with equal keys are popped in any order.
+ *
+ * @internal
+ */
 export class IndexedHeap<T extends HeapItem> {
   private readonly items: T[] = []
 
@@ -38,7 +46,7 @@
     this.moveDown(last, this.moveUp(last, index))
   }
 
-  /** Puts an item in its place again after its key changed. */
+  /** Restores the heap order after the key of an item changed. */
   update(item: T): void {
     if (this.items[item.heapIndex] !== item) return
     this.moveDown(item, this.moveUp(item, item.heapIndex))
--- a/packages/policy/src/lib/util/LruMap.ts
+++ b/packages/policy/src/lib/util/LruMap.ts
@@ -1,4 +1,4 @@
-/** A map that forgets what was not used for longest, so that its memory is bounded. @internal */
+/** A map of limited size that evicts the least recently used entry. @internal */
 export class LruMap<K, V> {
   private readonly entries = new Map<K, V>()
 
--- a/packages/policy/src/lib/util/canHold.ts
+++ b/packages/policy/src/lib/util/canHold.ts
@@ -1,8 +1,8 @@
 import type { Resources } from '@cherryhitch/protocol'
 
 /**
- * Tells whether a worker of the size `largest` could hold a task alone. An unknown size holds
- * anything: refusing for good needs proof.
+ * Whether an otherwise idle endpoint with the resources `largest` could run a task. An unknown size
+ * counts as large enough, because a task must not be refused permanently without proof.
  *
  * @internal
  */
