--- a/packages/policy/src/lib/admission/JobAtDoor.ts
+++ b/packages/policy/src/lib/admission/JobDemand.ts
@@ -1,11 +1,11 @@
-import { fillOwners } from '../routing/fillOwners'
+import { assignToOwners } from '../routing/assignToOwners'
 import type { OwnerOffer, RoutedTask } from '../routing/OwnerRouter'
 import type { AdmissionRequest } from './Admission'
 import { describeService, IDLE_SHARE } from './describeService'
 import type { ServiceCapacity } from './describeService'
 
-/** A request with what the decisions derive from it. @internal */
-export class JobAtDoor {
+/** An admission request with the figures that the admission checks derive from it. @internal */
+export class JobDemand {
   readonly services: readonly { readonly capacity: ServiceCapacity; readonly count: number }[]
   readonly workMs: number
   readonly longestMs: number
@@ -21,23 +21,25 @@
     }))
   }
 
-  /** This instance's part of the slots. */
-  get slotsHere(): number {
+  /** This instance's share of the slots of the job's services. */
+  get instanceSlots(): number {
     const slots = this.services.reduce((sum, { capacity }) => sum + capacity.slots, 0)
     return slots / Math.max(1, this.request.instances)
   }
 
+  /** Mean run time of the slowest of the job's services. */
   get meanRunMs(): number {
     return this.services.reduce((most, { capacity }) => Math.max(most, capacity.meanRunMs), 0)
   }
 
-  /** How long this instance's part of the slots needs for the job. */
+  /** Time that this instance's share of the slots needs for the job. */
   get serviceMs(): number {
-    return this.workMs / Math.max(1e-9, this.slotsHere)
+    return this.workMs / Math.max(1e-9, this.instanceSlots)
   }
 
   /**
-   * Time until the job falls due in a queue by due time: its work, or until its latest start.
+   * Lead time, from arrival until the job is due in a queue ordered by due time: the job's work,
+   * or the time until its latest start if that is shorter.
    *
    * @see DeadlineFairQueue
    */
@@ -45,21 +47,21 @@
     return Math.min(this.workMs, this.request.deadlineAt - now - this.longestMs)
   }
 
-  /** Predicted end of its last task, with all waits in queues taken times a factor. */
+  /** Predicted time until the job's last task ends, with all queue waits multiplied by a factor. */
   finishMs(waitFactor: number): number {
     const { tasks, offers } = this.request
     const { instances } = this.request
-    const scaled = offers.map((offer) => foresee(offer, waitFactor, instances))
-    const filled = fillOwners(tasks, scaled, () => 0)
-    return filled.reduce((latest, { finishMs }) => Math.max(latest, finishMs), 0)
+    const scaled = offers.map((offer) => projectOffer(offer, waitFactor, instances))
+    const assigned = assignToOwners(tasks, scaled, () => 0)
+    return assigned.reduce((latest, { finishMs }) => Math.max(latest, finishMs), 0)
   }
 }
 
-/** An offer as it will be once what all instances placed since has arrived. */
-function foresee(offer: OwnerOffer, waitFactor: number, instances: number): OwnerOffer {
+/** Adjusts an offer for the tasks that all instances are assumed to have placed since it was made. */
+function projectOffer(offer: OwnerOffer, waitFactor: number, instances: number): OwnerOffer {
   if (waitFactor === 0) return { ...offer, waitMs: 0, freeSlots: offer.slots, unreported: 0 }
-  // The others are taken to have placed as much as this instance since the owner reported,
-  // unless it was idle then: one large job is no sign of a burst.
+  // Assumes that each other instance has placed as many tasks as this one since the owner's last
+  // report, unless the owner was idle then: a single large job does not indicate a burst.
   const reported = offer.slots - offer.freeSlots + offer.queuedTasks
   const isIdle = reported < IDLE_SHARE * offer.slots
   const unreported = offer.unreported * (isIdle ? 1 : instances)
--- a/packages/policy/src/lib/admission/LeadShares.ts
+++ b/packages/policy/src/lib/admission/LeadTimeHistogram.ts
@@ -1,21 +1,22 @@
 const BUCKETS = 40
-/** Weight that a job's work keeps after as many further jobs, over e. */
-const MEMORY_JOBS = 500
+/** Number of further jobs after which the weight of a job's work has decayed to 1/e. */
+const DECAY_JOBS = 500
 
 /**
- * Remembers which share of the work comes with which lead, in buckets that double. The lead is
- * the time from a job's arrival until it falls due in the queue.
+ * Decaying histogram of work by lead time, with buckets of doubling width. The lead time is the
+ * time from a job's arrival until it is due in the queue.
  *
- * A queue that serves by due time makes a job wait about for the work of no longer lead.
+ * In a queue ordered by due time, a job waits roughly for the work with the same or a shorter lead
+ * time.
  *
  * @internal
  */
-export class LeadShares {
+export class LeadTimeHistogram {
   private readonly buckets = new Float64Array(BUCKETS)
   private total = 0
 
   observe(leadMs: number, workMs: number): void {
-    const keep = 1 - 1 / MEMORY_JOBS
+    const keep = 1 - 1 / DECAY_JOBS
     for (let bucket = 0; bucket < BUCKETS; bucket++) {
       this.buckets[bucket] = (this.buckets[bucket] ?? 0) * keep
     }
@@ -24,8 +25,8 @@
     this.buckets[bucket] = (this.buckets[bucket] ?? 0) + workMs
   }
 
-  /** Share of all work that comes with this lead or less; 1 while nothing is known. */
-  shareUpTo(leadMs: number): number {
+  /** Share of all work with this lead time or less; 1 before the first observation. */
+  cumulativeShare(leadMs: number): number {
     if (this.total <= 0) return 1
     const last = bucketOf(leadMs)
     let sum = 0
--- a/packages/policy/src/lib/admission/PredictedFinishAdmission.test.ts
+++ b/packages/policy/src/lib/admission/PredictedFinishAdmission.test.ts
@@ -64,21 +64,31 @@
       'later',
     ],
     [
-      'more cores than any worker',
+      'more cores than any endpoint has',
       { tasks: tasks(1, { resources: huge }) },
       Reason.NEVER_FITS,
       'never',
     ],
-    ['a deadline that idle workers miss', { deadlineAt: 100 }, Reason.TOO_LATE, 'never'],
     [
-      'a deadline that the queue misses',
+      'a deadline that cannot be met even by idle endpoints',
+      { deadlineAt: 100 },
+      Reason.TOO_LATE,
+      'never',
+    ],
+    [
+      'a deadline that cannot be met because of the queue',
       { deadlineAt: 2500, offers: [full] },
       Reason.TOO_LATE,
       'later',
     ],
     ['too many jobs in flight', { jobsInFlight: 2000 }, Reason.QUEUE_FULL, 'later'],
-    ['no place for all tasks', { tasks: tasks(60), offers: [full] }, Reason.QUEUE_FULL, 'later'],
-    ['more tasks than all places', { tasks: tasks(211) }, Reason.PRESET_LIMIT, 'never'],
+    [
+      'more tasks than the remaining capacity',
+      { tasks: tasks(60), offers: [full] },
+      Reason.QUEUE_FULL,
+      'later',
+    ],
+    ['more tasks than the total capacity', { tasks: tasks(211) }, Reason.PRESET_LIMIT, 'never'],
     [
       'a caller beyond its share while the queue fills',
       { offers: [full], callerTasksInFlight: 110, deadlineAt: 60_000 },
@@ -96,15 +106,15 @@
   }
 
   const admitted: [string, Partial<AdmissionRequest>][] = [
-    ['what fits the deadline', {}],
+    ['a job that can meet its deadline', {}],
     ['a job larger than the share of a caller with nothing in flight', { tasks: tasks(150) }],
-    ['a caller beyond its share while nobody waits', { callerTasksInFlight: 150 }],
+    ['a caller beyond its share without contention', { callerTasksInFlight: 150 }],
     [
-      'a caller alone',
+      'a caller beyond its share that is the only active caller',
       { offers: [full], callerTasksInFlight: 110, activeCallers: 1, deadlineAt: 6e4 },
     ],
     [
-      'what just one of two zones can hold',
+      'a task that only one of two owners can run',
       {
         offers: [
           { ...offer, largest: create(ResourcesSchema, { cores: 2 }) },
@@ -120,20 +130,20 @@
     })
   }
 
-  it('counts what other instances may have placed since the last report', () => {
+  it('allows for tasks that other instances may have placed since the last report', () => {
     const stale = { ...offer, freeSlots: 0, queuedTasks: 130, unreported: 10 }
     assert.equal(decide({ offers: [stale], instances: 1, tasks: tasks(5) }).admitted, true)
     const refusal = refused(decide({ offers: [stale], instances: 7, tasks: tasks(5) }))
     assert.equal(refusal.reason, Reason.QUEUE_FULL)
   })
 
-  it('does not share out the places of an idle service', () => {
+  it('does not divide the capacity of an idle service between instances', () => {
     const idle = { ...offer, freeSlots: 8, unreported: 40 }
     const request = { offers: [idle], instances: 7, tasks: tasks(20), deadlineAt: 2500 }
     assert.equal(decide(request).admitted, true)
   })
 
-  it('tells a burst of refused callers to come back one after the other', () => {
+  it('spreads the retry times of a burst of refused callers', () => {
     const admission = new PredictedFinishAdmission()
     const delays = Array.from({ length: 20 }, () => {
       const request = { deadlineAt: 2500, offers: [full] }
@@ -146,7 +156,7 @@
     )
   })
 
-  it('keeps accepted work on time in a burst of ten times the capacity', () => {
+  it('completes admitted work on time in a burst of ten times the capacity', () => {
     const scenario = {
       slots: 88,
       instances: 7,
--- a/packages/policy/src/lib/admission/createAdmission.ts
+++ b/packages/policy/src/lib/admission/createAdmission.ts
@@ -5,7 +5,7 @@
 import { PredictedFinishAdmission } from './PredictedFinishAdmission'
 import { QueueLimitAdmission } from './QueueLimitAdmission'
 
-/** Makes the admission rule that a preset names. @public */
+/** Creates the admission rule selected by a preset. @public */
 export function createAdmission(preset: PresetDefinition): Admission {
   switch (preset.admissionRule) {
     case AdmissionRule.UNSPECIFIED:
--- a/packages/policy/src/lib/admission/describeService.ts
+++ b/packages/policy/src/lib/admission/describeService.ts
@@ -1,19 +1,19 @@
 import { canHold } from '../util/canHold'
 import type { OwnerOffer, RoutedTask } from '../routing/OwnerRouter'
 
-/** A service that reports fewer tasks than this share of its slots is idle. @internal */
+/** A service is idle when it reports fewer tasks than this share of its slots. @internal */
 export const IDLE_SHARE = 0.5
 
-/** What all owners together offer for the service of some tasks. @internal */
+/** Capacity and load of one service, summed over all owners. @internal */
 export interface ServiceCapacity {
   readonly slots: number
-  /** Tasks that run, wait or are on their way. */
-  readonly tasksThere: number
+  /** Tasks that are running, queued, or placed but not yet reported by an owner. */
+  readonly assignedTasks: number
   readonly unreported: number
   readonly meanRunMs: number
 }
 
-/** Sums the offers of one service. @internal */
+/** Sums the offers for one service. @internal */
 export function describeService(
   service: string,
   offers: readonly OwnerOffer[],
@@ -28,12 +28,12 @@
   return {
     slots,
     unreported,
-    tasksThere: sum((offer) => offer.slots - offer.freeSlots + offer.queuedTasks) + unreported,
+    assignedTasks: sum((offer) => offer.slots - offer.freeSlots + offer.queuedTasks) + unreported,
     meanRunMs: measuredMs > 0 ? measuredMs : fallbackRunMs,
   }
 }
 
-/** Whether some owner could ever run the task. @internal */
+/** Whether any owner has an endpoint large enough for the task, free or not. @internal */
 export function couldEverRun(task: RoutedTask, offers: readonly OwnerOffer[]): boolean {
   return offers.some(
     (offer) =>
--- a/packages/policy/src/lib/bench/admissionBench.ts
+++ b/packages/policy/src/lib/bench/admissionBench.ts
@@ -32,9 +32,9 @@
 const admissions: Record<string, () => Admission> = {
   'limit of jobs': () => new QueueLimitAdmission(preset),
   'predicted finish': () => new PredictedFinishAdmission(),
-  'share always binds': () => new PredictedFinishAdmission({ contendedFill: 0 }),
-  'safety 2': () => new PredictedFinishAdmission({ waitSafety: 2 }),
-  'returns not paced': () => new PredictedFinishAdmission({ pacedReturns: false }),
+  'share always binds': () => new PredictedFinishAdmission({ contentionThreshold: 0 }),
+  'safety 2': () => new PredictedFinishAdmission({ waitSafetyFactor: 2 }),
+  'returns not paced': () => new PredictedFinishAdmission({ paceRetries: false }),
   'whole queue ahead': () => new PredictedFinishAdmission({ byDueTime: false }),
 }
 
--- a/packages/policy/src/lib/routing/MeasuredWaitRouter.test.ts
+++ b/packages/policy/src/lib/routing/MeasuredWaitRouter.test.ts
@@ -33,7 +33,7 @@
   }))
 }
 
-/** How many tasks each owner gets, with a margin of 20 ms between zones. */
+/** Number of tasks assigned to each owner, with a margin of 20 ms between zones. */
 function split(count: number, offers: readonly OwnerOffer[], part: Partial<RoutedTask> = {}) {
   const router = new MeasuredWaitRouter({ spillMarginMs: 20, spillMarginPerRun: 0 })
   const counts: Record<string, number> = {}
@@ -49,12 +49,12 @@
   const large = create(ResourcesSchema, { cores: 64 })
   const cases: [string, Record<string, number>, Record<string, number>][] = [
     [
-      'keeps to its own zone while that has free slots',
+      'stays in its own zone while that has free slots',
       split(10, [offer('a', 'home'), offer('b', 'far')]),
       { a: 10 },
     ],
     [
-      'stays when the other zone is ahead by less than the way and the margin',
+      'stays when the other zone is ahead by less than the round trip and the margin',
       split(1, [offer('a', 'home', { ...full, waitMs: 22 }), offer('b', 'far')]),
       { a: 1 },
     ],
@@ -64,27 +64,27 @@
       { b: 1 },
     ],
     [
-      'levels the finishes of a large job over full zones',
+      'balances the end times of a large job over full zones',
       split(100, [offer('a', 'home', full), offer('b', 'far', full), offer('c', 'far', full)]),
       { a: 34, b: 33, c: 33 },
     ],
     [
-      'takes free slots everywhere before it queues',
+      'uses free slots in all zones before it queues tasks',
       split(23, [offer('a', 'home', { freeSlots: 3 }), offer('b', 'far'), offer('c', 'far')]),
       { a: 4, b: 10, c: 9 },
     ],
     [
-      'counts what it placed since the offer',
+      'includes tasks placed since the offer',
       split(4, [offer('a', 'home', { unreported: 10 }), offer('b', 'home')]),
       { b: 4 },
     ],
     [
-      'shares between owners of one zone by what they have free',
+      'divides tasks between owners of one zone by their free slots',
       split(9, [offer('a', 'home', { freeSlots: 3 }), offer('b', 'home', { freeSlots: 6 })]),
       { a: 3, b: 6 },
     ],
     [
-      'goes where the task fits',
+      'sends a task to an owner where it fits',
       split(2, [offer('a', 'home', { largest: small }), offer('b', 'far')], { resources: large }),
       { b: 2 },
     ],
@@ -110,7 +110,7 @@
     })
   }
 
-  it('lets a long task stay for a wait that is short against its run', () => {
+  it('keeps a long task in its zone for a wait that is short relative to its run time', () => {
     const router = new MeasuredWaitRouter({ spillMarginMs: 3, spillMarginPerRun: 0.3 })
     const offers = [offer('a', 'home', { ...full, waitMs: 100 }), offer('b', 'far')]
     assert.equal(router.assign(0, 'home', tasks(1, { estimateMs: 100 }), offers)[0]?.instance, 'b')
@@ -158,11 +158,11 @@
 }
 
 describe('routing of a job wider than a zone', () => {
-  // The wait is that of the queue's work over all slots, so the first few that queue seem to wait
-  // for less than the margin.
+  // The predicted wait is the queued work divided by all slots, so for the first few queued tasks
+  // it is below the margin.
   const fewQueued = 4
 
-  it('keeps but a few tasks waiting at home while slots of other zones are free', () => {
+  it('queues only a few tasks in its own zone while other zones have free slots', () => {
     const offers = ['home', 'north', 'south'].map((zone) =>
       offer(zone, zone, { slots: 88, freeSlots: 88 }),
     )
--- a/packages/policy/src/lib/routing/MeasuredWaitRouter.ts
+++ b/packages/policy/src/lib/routing/MeasuredWaitRouter.ts
@@ -1,25 +1,28 @@
-import { fillOwners } from './fillOwners'
+import { assignToOwners } from './assignToOwners'
 import { OwnerRouter } from './OwnerRouter'
 import type { OwnerOffer, RouteAssignment, RoutedTask } from './OwnerRouter'
 
 /** @public */
 export interface MeasuredWaitRouterOptions {
-  /** Wait that is borne at home before a task leaves its zone, beyond the way, in milliseconds. */
+  /**
+   * How much sooner, in milliseconds and beyond the round trip, a task must start in another
+   * availability zone before it leaves its own.
+   */
   readonly spillMarginMs: number
-  /** The same for each millisecond of the task's estimated run time. */
+  /** Additional margin per millisecond of the task's estimated run time. */
   readonly spillMarginPerRun: number
 }
 
 /** @public */
 export const defaultMeasuredWaitRouterOptions: MeasuredWaitRouterOptions = {
   spillMarginMs: 3,
-  // A margin that grows with the tasks keeps large jobs in a full zone while others idle.
+  // A margin that grows with run time keeps large jobs in a full zone while other zones are idle.
   spillMarginPerRun: 0,
 }
 
 /**
- * Sends tasks to the owner where they are predicted to end first, in the own zone unless another
- * one is ahead by more than the way there and the margin.
+ * Sends tasks to the owner where they are predicted to end first. Tasks stay in the coordinator's
+ * availability zone unless another zone is ahead by more than the round trip and the margin.
  *
  * @public
  */
@@ -40,7 +43,7 @@
     const { spillMarginMs, spillMarginPerRun } = this.options
     const extraCostMs = (offer: OwnerOffer, task: RoutedTask): number =>
       offer.zone === ownZone ? 0 : spillMarginMs + spillMarginPerRun * task.estimateMs
-    return fillOwners(tasks, offers, extraCostMs).map(({ task, offer }) => ({
+    return assignToOwners(tasks, offers, extraCostMs).map(({ task, offer }) => ({
       index: task.index,
       instance: offer.instance,
     }))
--- a/packages/policy/src/lib/routing/OwnZoneRouter.ts
+++ b/packages/policy/src/lib/routing/OwnZoneRouter.ts
@@ -1,9 +1,14 @@
 import { OwnerRouter } from './OwnerRouter'
 import type { OwnerOffer, RouteAssignment, RoutedTask } from './OwnerRouter'
 
-/** Baseline: in turn over the owners of the own zone, or of any zone when it has none. @public */
+/**
+ * Baseline: round robin over the owners in the coordinator's availability zone, or over all owners
+ * when it has none.
+ *
+ * @public
+ */
 export class OwnZoneRouter extends OwnerRouter {
-  private turn = 0
+  private nextIndex = 0
 
   override assign(
     _now: number,
@@ -13,9 +18,9 @@
   ): readonly RouteAssignment[] {
     return tasks.flatMap((task) => {
       const offering = offers.filter((offer) => offer.service === task.service && offer.slots > 0)
-      const near = offering.filter((offer) => offer.zone === ownZone)
-      const choice = near.length > 0 ? near : offering
-      const offer = choice[this.turn++ % Math.max(1, choice.length)]
+      const local = offering.filter((offer) => offer.zone === ownZone)
+      const choice = local.length > 0 ? local : offering
+      const offer = choice[this.nextIndex++ % Math.max(1, choice.length)]
       return offer === undefined ? [] : [{ index: task.index, instance: offer.instance }]
     })
   }
--- a/packages/policy/src/lib/routing/OwnerRouter.ts
+++ b/packages/policy/src/lib/routing/OwnerRouter.ts
@@ -1,6 +1,6 @@
 import type { Resources } from '@cherryhitch/protocol'
 
-/** A task that needs an owner. @public */
+/** A task to be assigned to an owner. @public */
 export interface RoutedTask {
   readonly index: number
   readonly service: string
@@ -8,7 +8,7 @@
   readonly resources: Resources | undefined
 }
 
-/** What one owner offers for one service, as the coordinator knows it. @public */
+/** The capacity and load of one owner for one service, as known to the coordinator. @public */
 export interface OwnerOffer {
   readonly instance: string
   readonly zone: string
@@ -16,13 +16,14 @@
   readonly slots: number
   readonly freeSlots: number
   readonly queuedTasks: number
-  /** Wait of a task queued there now, as the owner predicts it, in milliseconds. */
+  /** The owner's prediction of the wait of a task queued there now, in milliseconds. */
   readonly waitMs: number
   readonly meanRunMs: number
+  /** Resources of the owner's largest endpoint; undefined when unknown. */
   readonly largest: Resources | undefined
-  /** Round trip to it in milliseconds; 0 for the coordinator's own instance. */
+  /** Round-trip time to the owner, in milliseconds; 0 for the coordinator's own instance. */
   readonly roundTripMs: number
-  /** Tasks that this coordinator placed there since the offer was made, not yet in it. */
+  /** Tasks that this coordinator placed there since the offer was made, not included in it. */
   readonly unreported: number
 }
 
@@ -32,11 +33,10 @@
   readonly instance: string
 }
 
-/** Splits the tasks of a job over owners. @public */
+/** Distributes the tasks of a job over owners. @public */
 export abstract class OwnerRouter {
   /**
-   * Assigns every task that some offer could serve; tasks of a service without any offer are
-   * left out.
+   * Assigns every task that an offer can serve. Tasks of a service without an offer are left out.
    */
   abstract assign(
     now: number,
--- a/packages/policy/src/lib/routing/fillOwners.ts
+++ b/packages/policy/src/lib/routing/assignToOwners.ts
@@ -2,47 +2,50 @@
 import { OwnerLoad } from './OwnerLoad'
 import type { OwnerOffer, RoutedTask } from './OwnerRouter'
 
-/** Where a task would go, and when it would end there. @internal */
-export interface FilledTask {
+/** The owner that a task is assigned to and its predicted end. @internal */
+export interface PredictedAssignment {
   readonly task: RoutedTask
   readonly offer: OwnerOffer
-  /** Predicted milliseconds from now until the task ends. */
+  /** Predicted time until the task ends, in milliseconds. */
   readonly finishMs: number
 }
 
-/** Differences below this are noise: the fuller owner gives way. Half of a hop of 1 ms. */
+/**
+ * Costs that differ by less count as equal, and the owner with more free slots wins. Half of a
+ * network hop of 1 ms.
+ */
 const TIE_MS = 0.5
 
 /**
- * Spreads tasks over owners so that their predicted finishes come out level: the longest task
- * first, each to the owner where it costs least after those before it.
+ * Distributes tasks over owners so that their predicted end times are balanced: greedily, longest
+ * task first, each to the owner with the lowest cost given the tasks already assigned.
  *
- * @param extraCostMs - what using this offer costs beyond its wait
- * @returns only tasks that some offer could serve
+ * @param extraCostMs - cost of using the offer in addition to its wait
+ * @returns only the tasks that an offer can serve
  * @internal
  */
-export function fillOwners(
+export function assignToOwners(
   tasks: readonly RoutedTask[],
   offers: readonly OwnerOffer[],
   extraCostMs: ExtraCost,
-): readonly FilledTask[] {
+): readonly PredictedAssignment[] {
   return [...new Set(tasks.map((task) => task.service))].flatMap((service) => {
     const mine = tasks.filter((task) => task.service === service)
     const meanMs = mine.reduce((sum, task) => sum + task.estimateMs, 0) / mine.length
     const loads = offers
       .filter((offer) => offer.service === service && offer.slots > 0)
       .map((offer) => new OwnerLoad(offer, meanMs))
-    return fillService(mine, loads, extraCostMs)
+    return assignService(mine, loads, extraCostMs)
   })
 }
 
 type ExtraCost = (offer: OwnerOffer, task: RoutedTask) => number
 
-function fillService(
+function assignService(
   tasks: readonly RoutedTask[],
   loads: readonly OwnerLoad[],
   extraCostMs: ExtraCost,
-): FilledTask[] {
+): PredictedAssignment[] {
   const longestFirst = [...tasks].sort((a, b) => b.estimateMs - a.estimateMs)
   return longestFirst.flatMap((task) => {
     const load = cheapest(task, loads, extraCostMs)
