--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,5 +1,7 @@
 /**
- * Decisions as pure functions and small state holders.
+ * Scheduling policies: admission, queue order, routing, placement, run time estimates, endpoint
+ * health, crash attribution and retries. They are pure functions or small stateful classes that do
+ * no I/O and take the current time as an argument.
  *
  * @packageDocumentation
  */
@@ -49,7 +51,10 @@
 export type { PlacementCandidate, PlacementOutlook } from './lib/placement/EndpointPicker'
 export { RandomPicker } from './lib/placement/RandomPicker'
 export { defaultSlownessTrackerOptions, SlownessTracker } from './lib/placement/SlownessTracker'
-export type { RunSeen, SlownessTrackerOptions } from './lib/placement/SlownessTracker'
+export type {
+  RunObservation as RunSeen,
+  SlownessTrackerOptions,
+} from './lib/placement/SlownessTracker'
 export { defaultSpreadFastPickerOptions, SpreadFastPicker } from './lib/placement/SpreadFastPicker'
 export type { SpreadFastPickerOptions } from './lib/placement/SpreadFastPicker'
 export { createRetryBudget } from './lib/retries/createRetryBudget'
--- a/packages/policy/src/lib/ownership/pickOwner.ts
+++ b/packages/policy/src/lib/ownership/pickOwner.ts
@@ -1,14 +1,15 @@
 import { hash64 } from '@cherryhitch/model'
 
-/** What rendezvous hashing needs of an endpoint. @public */
+/** The attributes of an endpoint that determine its shard. @public */
 export interface OwnershipSubject {
   readonly endpoint: string
   readonly service: string
 }
 
 /**
- * The shard that an endpoint belongs to. With one shard, all endpoints of a service in a zone
- * share one owner and so one queue; more shards spread them at full size.
+ * The shard that an endpoint belongs to. With one shard, all endpoints of a service in an
+ * availability zone share one owner and thus one queue. More shards spread the endpoints of large
+ * deployments over several owners.
  *
  * @public
  */
@@ -18,8 +19,8 @@
 }
 
 /**
- * Picks the owner of a shard among the live instances of its zone by rendezvous hashing: when an
- * instance comes or goes, only the shards that it wins or held move.
+ * Picks the owner of a shard among the live instances of its availability zone by rendezvous
+ * hashing: when an instance joins or leaves, only the shards that it gains or owned move.
  *
  * @returns undefined when there is no instance
  * @public
--- a/packages/policy/src/lib/placement/EndpointPicker.ts
+++ b/packages/policy/src/lib/placement/EndpointPicker.ts
@@ -1,30 +1,30 @@
 import type { QueuedTask } from '../order/TaskQueue'
 
-/** One endpoint that could start a task now: it has a free slot and the resources. @public */
+/** An endpoint that can start the task now, having a free slot and enough resources. @public */
 export interface PlacementCandidate {
   readonly endpoint: string
   readonly rack: string
   readonly slots: number
   readonly busySlots: number
-  /** Measured run times here over those of the same work elsewhere; 1 is average, 8 a straggler. */
+  /** Ratio of run times here to those of the same work at peers; 1 is average, 8 a straggler. */
   readonly slowness: number
-  /** Tasks of the same job that run here now. */
+  /** Running tasks of the same job at this endpoint. */
   readonly sameJobHere: number
-  /** Tasks of the same job that run in this rack now. */
+  /** Running tasks of the same job in this rack. */
   readonly sameJobInRack: number
 }
 
-/** What the owner expects of the endpoints that are no candidates now. @public */
+/** The owner's forecast for endpoints that are not candidates now. @public */
 export interface PlacementOutlook {
-  /** Expected milliseconds until one of them that is not slow has a free slot. */
+  /** Expected time until one of them that is not slow has a free slot, in milliseconds. */
   readonly nextSlotMs: number
 }
 
 /** Chooses the endpoint for a task that is about to start. @public */
 export abstract class EndpointPicker {
   /**
-   * @param outlook - left out where the owner does not know it
-   * @returns undefined when it is better to wait than to use any of the candidates
+   * @param outlook - omitted when the owner has no forecast
+   * @returns undefined when waiting is better than using any of the candidates
    */
   abstract pick(
     now: number,
--- a/packages/policy/src/lib/placement/RandomPicker.ts
+++ b/packages/policy/src/lib/placement/RandomPicker.ts
@@ -3,7 +3,7 @@
 import { EndpointPicker } from './EndpointPicker'
 import type { PlacementCandidate } from './EndpointPicker'
 
-/** Baseline: any endpoint with a free slot, spread by a hash of the task's id. @public */
+/** Baseline: picks any candidate, by a hash of the task's id. @public */
 export class RandomPicker extends EndpointPicker {
   override pick(
     _now: number,
--- a/packages/policy/src/lib/placement/SlownessTracker.ts
+++ b/packages/policy/src/lib/placement/SlownessTracker.ts
@@ -2,7 +2,7 @@
 import { quantile } from '../util/quantile'
 
 /** One task that ran to its end. @public */
-export interface RunSeen {
+export interface RunObservation {
   readonly endpoint: string
   readonly service: string
   readonly estimateMs: number
@@ -11,27 +11,30 @@
 
 /** @public */
 export interface SlownessTrackerOptions {
-  /** Age at which a run counts 1/e, in milliseconds; an endpoint left alone is tried again. */
+  /**
+   * Age at which the weight of a run has decayed to 1/e, in milliseconds. The decay lets an
+   * endpoint that was avoided as slow be tried again.
+   */
   readonly tauMs: number
-  /** Runs that the assumption "as fast as its peers" is worth. */
+  /** Weight of the prior that an endpoint is as fast as its peers, as a number of runs. */
   readonly priorRuns: number
-  /** How long the peers' median is reused, in milliseconds. */
+  /** How long the median of the peers is cached, in milliseconds. */
   readonly medianReuseMs: number
 }
 
-/** Measured in `docs/design/placement.md`. @public */
+/** See `docs/design/placement.md` for the measurements behind the defaults. @public */
 export const defaultSlownessTrackerOptions: SlownessTrackerOptions = {
   tauMs: 30_000,
   priorRuns: 4,
   medianReuseMs: 100,
 }
 
-/** One run counts as at most this many times slower or faster than its estimate, as a logarithm. */
+/** Limit of the ratio of a run time to its estimate, in either direction, as a logarithm. */
 const MAX_LOG_RATIO = 3
-/** Endpoints with fewer recent runs do not count among the peers. */
+/** Endpoints with fewer recent runs are left out of the median. */
 const MIN_RUNS = 2
 
-interface Speed {
+interface EndpointSpeed {
   readonly service: string
   readonly runs: DecayedSum
   readonly logRatios: DecayedSum
@@ -39,28 +42,28 @@
 
 interface PeerMedian {
   readonly at: number
-  readonly log: number
+  readonly logRatio: number
 }
 
 /**
- * Measures how slow each endpoint is against its peers of the same service.
+ * Measures how slow each endpoint is compared with its peers of the same service.
  *
- * Each run counts by its ratio to the task's estimate, so that an endpoint which happened to get
- * long tasks is not taken for a slow one; a fault common to all estimates cancels out, since the
- * median of the peers is 1 by definition.
+ * Each run is measured as the ratio of its run time to the task's estimate, so that an endpoint
+ * that happened to get long tasks does not appear slow. An error common to all estimates cancels
+ * out, because slowness is relative to the median of the peers, which is 1 by definition.
  *
  * @public
  */
 export class SlownessTracker {
   private readonly options: SlownessTrackerOptions
-  private readonly speeds = new Map<string, Speed>()
+  private readonly speeds = new Map<string, EndpointSpeed>()
   private readonly medians = new Map<string, PeerMedian>()
 
   constructor(options: Partial<SlownessTrackerOptions> = {}) {
     this.options = { ...defaultSlownessTrackerOptions, ...options }
   }
 
-  observe(now: number, { endpoint, service, estimateMs, runMs }: RunSeen): void {
+  observe(now: number, { endpoint, service, estimateMs, runMs }: RunObservation): void {
     if (estimateMs <= 0 || runMs <= 0) return
     const ratio = Math.log(runMs / estimateMs)
     const clipped = Math.min(MAX_LOG_RATIO, Math.max(-MAX_LOG_RATIO, ratio))
@@ -69,14 +72,14 @@
     speed.logRatios.add(now, clipped)
   }
 
-  /** Run times here over those of the same work at its peers; 1 when nothing is known. */
+  /** Ratio of run times here to those of the same work at peers; 1 without observations. */
   slowness(now: number, endpoint: string): number {
     const speed = this.speeds.get(endpoint)
     if (speed === undefined) return 1
     const runs = speed.runs.read(now)
     if (runs <= 0) return 1
-    const log = speed.logRatios.read(now) / runs - this.medianOf(now, speed.service)
-    return Math.exp((log * runs) / (runs + this.options.priorRuns))
+    const logRatio = speed.logRatios.read(now) / runs - this.medianOf(now, speed.service)
+    return Math.exp((logRatio * runs) / (runs + this.options.priorRuns))
   }
 
   remove(endpoint: string): void {
@@ -85,7 +88,7 @@
     if (service !== undefined) this.medians.delete(service)
   }
 
-  private speedOf(endpoint: string, service: string): Speed {
+  private speedOf(endpoint: string, service: string): EndpointSpeed {
     const known = this.speeds.get(endpoint)
     if (known?.service === service) return known
     const { tauMs } = this.options
@@ -94,17 +97,17 @@
     return speed
   }
 
-  /** Median of the peers' mean logarithms; of two, the faster one's. */
+  /** Median of the peers' mean log ratios; of two peers, the lower one. */
   private medianOf(now: number, service: string): number {
     const known = this.medians.get(service)
-    if (known !== undefined && now - known.at < this.options.medianReuseMs) return known.log
+    if (known !== undefined && now - known.at < this.options.medianReuseMs) return known.logRatio
     const logs: number[] = []
     for (const speed of this.speeds.values()) {
       const runs = speed.runs.read(now)
       if (speed.service === service && runs >= MIN_RUNS) logs.push(speed.logRatios.read(now) / runs)
     }
-    const log = quantile(logs, (logs.length - 1) / 2 / Math.max(1, logs.length)) ?? 0
-    this.medians.set(service, { at: now, log })
-    return log
+    const logRatio = quantile(logs, (logs.length - 1) / 2 / Math.max(1, logs.length)) ?? 0
+    this.medians.set(service, { at: now, logRatio })
+    return logRatio
   }
 }
--- a/packages/policy/src/lib/placement/SpreadFastPicker.ts
+++ b/packages/policy/src/lib/placement/SpreadFastPicker.ts
@@ -6,19 +6,19 @@
 
 /** @public */
 export interface SpreadFastPickerOptions {
-  /** Endpoints at least this much slower than their peers are worth waiting for another. */
+  /** Slowness from which an endpoint is a straggler, so that waiting for another may be better. */
   readonly stragglerSlowness: number
   /** Cost of one more task of the same job at the endpoint, as a share of the run time. */
   readonly sameEndpointCost: number
-  /** The same for the rack. */
+  /** Cost of one more task of the same job in the rack, as a share of the run time. */
   readonly sameRackCost: number
-  /** Cost of an endpoint whose slots are all busy but one, as a share of the run time. */
+  /** Cost of a fully busy endpoint, as a share of the run time; scaled by the busy share. */
   readonly busyCost: number
   /** Longest wait for a faster endpoint, in milliseconds. */
   readonly maxHoldMs: number
 }
 
-/** Measured in `docs/design/placement.md`. @public */
+/** See `docs/design/placement.md` for the measurements behind the defaults. @public */
 export const defaultSpreadFastPickerOptions: SpreadFastPickerOptions = {
   stragglerSlowness: 2,
   sameEndpointCost: 0.01,
@@ -27,24 +27,24 @@
   maxHoldMs: 5000,
 }
 
-/** Tasks held back at once that are remembered. */
+/** Maximum number of tasks whose hold times are tracked. */
 const MAX_HELD = 4096
-/** Endpoints whose costs differ by less than this share of the run time are equally good. */
+/** Costs that differ by less than this share of the run time count as equal. */
 const TIE_SHARE = 0.02
 
 /**
- * Takes the endpoint where the task is expected to end first, and among equals the least busy
- * one that has the least of the same job beside it.
+ * Picks the endpoint where the task is expected to end first. Among endpoints of similar speed, it
+ * prefers the least busy one with the fewest tasks of the same job in the endpoint and its rack.
  *
- * When only stragglers are free, a task waits: for as long as the outlook promises an earlier end
- * elsewhere, or, without an outlook, for as long as the straggler would cost beyond an average
- * run. Waiting up to the cost of not waiting loses at most twice what the best choice would have.
+ * When only stragglers are free, the task is held: with an outlook, for as long as it predicts an
+ * earlier end elsewhere; without one, for as long as the extra run time at the straggler. As in the
+ * ski rental problem, waiting up to the cost of not waiting costs at most twice the optimum.
  *
  * @public
  */
 export class SpreadFastPicker extends EndpointPicker {
   private readonly options: SpreadFastPickerOptions
-  /** When a task was held back for the first time. */
+  /** Time at which each held task was first held. */
   private readonly heldSince = new LruMap<string, number>(MAX_HELD)
 
   constructor(options: Partial<SpreadFastPickerOptions> = {}) {
@@ -72,7 +72,7 @@
     let best: PlacementCandidate | undefined
     let bestCost = Infinity
     for (const candidate of candidates) {
-      const cost = this.cost(candidate) + TIE_SHARE * tieDraw(task.taskId, candidate.endpoint)
+      const cost = this.cost(candidate) + TIE_SHARE * tieBreaker(task.taskId, candidate.endpoint)
       if (cost >= bestCost) continue
       best = candidate
       bestCost = cost
@@ -80,7 +80,7 @@
     return best
   }
 
-  /** Expected end, in run times of an average endpoint. */
+  /** Expected end of the task, as a multiple of its run time at an average endpoint. */
   private cost(candidate: PlacementCandidate): number {
     const { sameEndpointCost, sameRackCost, busyCost } = this.options
     const busyShare = candidate.busySlots / Math.max(1, candidate.slots)
@@ -109,7 +109,7 @@
   }
 }
 
-/** A number from 0 to 1 that spreads the tasks of equal endpoints. */
-function tieDraw(taskId: string, endpoint: string): number {
+/** A pseudo-random number from 0 to 1 that spreads tasks over endpoints of equal cost. */
+function tieBreaker(taskId: string, endpoint: string): number {
   return parseInt(hash64(`${taskId}@${endpoint}`).slice(0, 4), 16) / 0xffff
 }
--- a/packages/policy/src/lib/placement/createEndpointPicker.ts
+++ b/packages/policy/src/lib/placement/createEndpointPicker.ts
@@ -4,7 +4,7 @@
 import { RandomPicker } from './RandomPicker'
 import { SpreadFastPicker } from './SpreadFastPicker'
 
-/** Makes the picker that a preset names. @public */
+/** Creates the picker selected by a preset. @public */
 export function createEndpointPicker(rule: PlacementRule): EndpointPicker {
   switch (rule) {
     case PlacementRule.UNSPECIFIED:
--- a/packages/policy/src/lib/placement/placement.test.ts
+++ b/packages/policy/src/lib/placement/placement.test.ts
@@ -31,22 +31,22 @@
   attempt: 0,
 }
 
-describe('the picker that spreads and prefers fast endpoints', () => {
+describe('SpreadFastPicker', () => {
   const cases: [string, PlacementCandidate[], string][] = [
-    ['the faster one', [candidate('slow', { slowness: 1.5 }), candidate('fast')], 'fast'],
-    ['the less busy one', [candidate('busy', { busySlots: 6 }), candidate('idle')], 'idle'],
+    ['the faster endpoint', [candidate('slow', { slowness: 1.5 }), candidate('fast')], 'fast'],
+    ['the less busy endpoint', [candidate('busy', { busySlots: 6 }), candidate('idle')], 'idle'],
     [
-      'the worker without a task of the same job',
+      'the endpoint without a task of the same job',
       [candidate('same', { sameJobHere: 4 }), candidate('other')],
       'other',
     ],
     [
-      'the rack without a task of the same job',
+      'an endpoint in a rack without a task of the same job',
       [candidate('same', { sameJobInRack: 20 }), candidate('other', { rack: 'r2' })],
       'other',
     ],
     [
-      'a fast busy one before an idle straggler',
+      'a fast but busy endpoint over an idle straggler',
       [candidate('fast', { busySlots: 7, sameJobHere: 7 }), candidate('slow', { slowness: 8 })],
       'fast',
     ],
@@ -59,33 +59,33 @@
     })
   }
 
-  it('takes nothing when there is nothing', () => {
+  it('picks nothing without candidates', () => {
     assert.equal(new SpreadFastPicker().pick(0, task, []), undefined)
   })
 
   const straggler = [candidate('slow', { slowness: 4 })]
 
-  it('waits for a faster endpoint as long as the straggler would cost, then takes it', () => {
+  it('holds a task for the extra run time at a straggler, then picks the straggler', () => {
     const picker = new SpreadFastPicker()
     assert.equal(picker.pick(1000, task, straggler), undefined)
     assert.equal(picker.pick(1899, task, straggler), undefined)
     assert.equal(picker.pick(1900, task, straggler)?.endpoint, 'slow')
   })
 
-  it('does not wait when the next slot comes later than the straggler would end', () => {
+  it('does not hold a task when the next slot is expected after the straggler would end', () => {
     const picker = new SpreadFastPicker()
     assert.equal(picker.pick(0, task, straggler, { nextSlotMs: 2000 })?.endpoint, 'slow')
     assert.equal(picker.pick(0, task, straggler, { nextSlotMs: 20 }), undefined)
   })
 
-  it('never holds a task for longer than its limit', () => {
+  it('never holds a task for longer than the limit', () => {
     const picker = new SpreadFastPicker({ maxHoldMs: 700 })
     const outlook = { nextSlotMs: 1 }
     assert.equal(picker.pick(0, task, straggler, outlook), undefined)
     assert.equal(picker.pick(700, task, straggler, outlook)?.endpoint, 'slow')
   })
 
-  it('answers sooner than random choice beside stragglers', () => {
+  it('completes jobs sooner than random placement when there are stragglers', () => {
     const scenario = {
       endpoints: 11,
       slotsEach: 8,
@@ -106,7 +106,7 @@
   })
 })
 
-describe('slowness against the peers', () => {
+describe('slowness relative to peers', () => {
   const observe = (
     tracker: SlownessTracker,
     endpoint: string,
@@ -119,11 +119,11 @@
     }
   }
 
-  it('is 1 for an endpoint that it does not know', () => {
+  it('is 1 for an unknown endpoint', () => {
     assert.equal(new SlownessTracker().slowness(0, 'e'), 1)
   })
 
-  it('finds the straggler, also when all estimates are ten times off', () => {
+  it('detects the straggler even when all estimates are ten times off', () => {
     const tracker = new SlownessTracker()
     for (const name of ['a', 'b', 'c']) observe(tracker, name, 0.1)
     observe(tracker, 'slow', 0.8)
@@ -131,14 +131,14 @@
     assert.ok(tracker.slowness(0, 'slow') > 5)
   })
 
-  it('does not take long tasks for slowness', () => {
+  it('does not mistake long tasks for slowness', () => {
     const tracker = new SlownessTracker()
     observe(tracker, 'short', 1, 50)
     observe(tracker, 'long', 1, 5000)
     assert.ok(Math.abs(tracker.slowness(0, 'long') - 1) < 0.01)
   })
 
-  it('tells the slow one of two', () => {
+  it('detects the slower of two endpoints', () => {
     const tracker = new SlownessTracker()
     observe(tracker, 'a', 1)
     observe(tracker, 'b', 8)
@@ -146,14 +146,14 @@
     assert.ok(Math.abs(tracker.slowness(0, 'a') - 1) < 0.01)
   })
 
-  it('forgets, so that an endpoint left alone is tried again', () => {
+  it('decays, so that an unused endpoint is tried again', () => {
     const tracker = new SlownessTracker()
     for (const name of ['a', 'b', 'c']) observe(tracker, name, 1)
     observe(tracker, 'slow', 8)
     assert.ok(tracker.slowness(180_000, 'slow') < 2)
   })
 
-  it('knows nothing of an endpoint that was removed', () => {
+  it('is reset when an endpoint is removed', () => {
     const tracker = new SlownessTracker()
     observe(tracker, 'a', 1)
     observe(tracker, 'b', 8)
--- a/packages/policy/src/lib/retries/FixedRetries.ts
+++ b/packages/policy/src/lib/retries/FixedRetries.ts
@@ -2,10 +2,10 @@
 
 const MAX_ATTEMPTS = 3
 
-/** Baseline: a fixed number of retries at once, whatever the load. @public */
+/** Baseline: a fixed number of immediate retries, whatever the load. @public */
 export class FixedRetries extends RetryBudget {
   override noteFresh(): void {
-    // Fresh work earns nothing here.
+    // The number of retries does not depend on the amount of new work.
   }
 
   override takeRetry(_now: number, attempt: number): number | undefined {
--- a/packages/policy/src/lib/retries/ShareRetryBudget.test.ts
+++ b/packages/policy/src/lib/retries/ShareRetryBudget.test.ts
@@ -3,23 +3,23 @@
 import fc from 'fast-check'
 import { ShareRetryBudget } from '../../index'
 
-/** Retries granted out of so many asked for. */
+/** Requests a number of retries and returns how many were granted. */
 function granted(budget: ShareRetryBudget, asked: number): number {
   let count = 0
   for (let n = 0; n < asked; n++) if (budget.takeRetry(0, 0, 0.5) !== undefined) count++
   return count
 }
 
-describe('retries as a share of fresh work', () => {
-  it('grants what was saved, then a share of what comes fresh', () => {
-    const budget = new ShareRetryBudget({ share: 0.1, maxSaved: 20 })
+describe('retries as a share of new work', () => {
+  it('grants the initial tokens, then a share of new work', () => {
+    const budget = new ShareRetryBudget({ share: 0.1, maxTokens: 20 })
     assert.equal(granted(budget, 500), 20)
     for (let n = 0; n < 100; n++) budget.noteFresh(0, 1)
     assert.equal(granted(budget, 500), 10)
   })
 
-  it('saves no more than its limit through quiet times', () => {
-    const budget = new ShareRetryBudget({ share: 0.5, maxSaved: 20 })
+  it('accumulates no more tokens than the capacity', () => {
+    const budget = new ShareRetryBudget({ share: 0.5, maxTokens: 20 })
     budget.noteFresh(0, 100_000)
     assert.equal(granted(budget, 500), 20)
   })
@@ -30,8 +30,8 @@
     assert.equal(granted(budget, 1), 0)
   })
 
-  it('gives up after the last attempt without spending', () => {
-    const budget = new ShareRetryBudget({ maxAttempts: 2, maxSaved: 1 })
+  it('takes no token after the last attempt', () => {
+    const budget = new ShareRetryBudget({ maxAttempts: 2, maxTokens: 1 })
     assert.equal(budget.takeRetry(0, 2, 0.5), undefined)
     assert.notEqual(budget.takeRetry(0, 1, 0.5), undefined)
   })
@@ -51,11 +51,11 @@
     })
   }
 
-  it('never grants more than was saved and earned, in any order', () => {
+  it('never grants more than the initial and added tokens, in any order', () => {
     const step = fc.record({ fresh: fc.nat(20), retries: fc.nat(20) })
     fc.assert(
       fc.property(fc.array(step), (steps) => {
-        const budget = new ShareRetryBudget({ share: 0.25, maxSaved: 10 })
+        const budget = new ShareRetryBudget({ share: 0.25, maxTokens: 10 })
         let fresh = 0
         let retries = 0
         for (const one of steps) {
--- a/packages/policy/src/lib/retries/ShareRetryBudget.ts
+++ b/packages/policy/src/lib/retries/ShareRetryBudget.ts
@@ -2,58 +2,61 @@
 
 /** @public */
 export interface ShareRetryBudgetOptions {
-  /** Retries earned by each fresh task, 0 to 1. */
+  /** Retries that each new task adds to the budget, 0 to 1. */
   readonly share: number
-  /** Retries that can be saved up, which a system without much fresh work also starts with. */
-  readonly maxSaved: number
-  /** Retries of one task. */
+  /**
+   * Capacity of the bucket, in retries. The bucket starts full, so that retries are possible before
+   * there has been much new work.
+   */
+  readonly maxTokens: number
+  /** Maximum number of retries of one task. */
   readonly maxAttempts: number
-  /** Upper end of the first delay, in milliseconds; it doubles with each attempt. */
+  /** Upper bound of the first delay, in milliseconds; it doubles with each attempt. */
   readonly baseDelayMs: number
   readonly maxDelayMs: number
 }
 
 /**
- * `baseDelayMs` is the lower end of the tasks' usual run times by the users' pages (50 ms): by
- * then a busy slot has a fair chance of being free. The design note gives the others' reasons.
+ * `baseDelayMs` is the lower end of typical run times (50 ms): after that time, a busy slot has a
+ * fair chance of being free. The design note explains the other values.
  *
  * @public
  */
 export const defaultShareRetryBudgetOptions: ShareRetryBudgetOptions = {
   share: 0.1,
-  maxSaved: 100,
+  maxTokens: 100,
   maxAttempts: 4,
   baseDelayMs: 50,
   maxDelayMs: 2000,
 }
 
-/** Ten tenths add up to a little less than 1. */
-const ROUNDING = 1e-9
+/** Allows for rounding: ten times 0.1 adds up to slightly less than 1. */
+const ROUNDING_TOLERANCE = 1e-9
 
 /**
- * Token bucket that fresh work fills, so that retries stay a bounded share of it however much
- * fails; delays grow exponentially with full jitter.
+ * Token bucket that is filled by new tasks, so that retries stay a bounded share of new work,
+ * however much of it fails. Delays grow exponentially with full jitter.
  *
  * @public
  */
 export class ShareRetryBudget extends RetryBudget {
   private readonly options: ShareRetryBudgetOptions
-  private saved: number
+  private tokens: number
 
   constructor(options: Partial<ShareRetryBudgetOptions> = {}) {
     super()
     this.options = { ...defaultShareRetryBudgetOptions, ...options }
-    this.saved = this.options.share > 0 ? this.options.maxSaved : 0
+    this.tokens = this.options.share > 0 ? this.options.maxTokens : 0
   }
 
   override noteFresh(_now: number, tasks: number): void {
-    this.saved = Math.min(this.options.maxSaved, this.saved + tasks * this.options.share)
+    this.tokens = Math.min(this.options.maxTokens, this.tokens + tasks * this.options.share)
   }
 
   override takeRetry(_now: number, attempt: number, draw: number): number | undefined {
     const { maxAttempts, baseDelayMs, maxDelayMs } = this.options
-    if (attempt >= maxAttempts || this.saved < 1 - ROUNDING) return undefined
-    this.saved = Math.max(0, this.saved - 1)
+    if (attempt >= maxAttempts || this.tokens < 1 - ROUNDING_TOLERANCE) return undefined
+    this.tokens = Math.max(0, this.tokens - 1)
     return draw * Math.min(maxDelayMs, baseDelayMs * 2 ** attempt)
   }
 }
