--- a/packages/dispatch/src/lib/crashes/CrashWatch.ts
+++ b/packages/dispatch/src/lib/crashes/CrashWatch.ts
@@ -11,113 +11,126 @@
 import { groupsOf } from './groupsOf'
 import type { LossNews } from './LossNews'
 
-/** What to do about a job some of whose tasks may take endpoints down. @internal */
-export interface JobJudgement {
+/** Assessment of a job with a task that may crash endpoints. @internal */
+export interface JobAssessment {
   readonly standing: TaskStanding.Culprit | TaskStanding.Held
   readonly task: Task
 }
 
 /**
- * Finds out what became of endpoints that were lost while tasks ran there, and which of these tasks
- * may be the cause. What is known goes to all who may lead, so that it outlasts this leader.
+ * Determines what happened to endpoints that were lost while tasks ran there, and which of these
+ * tasks may be the cause. The findings are broadcast to all instances that may become leader, so
+ * that they survive a change of leader.
  *
  * @internal
  */
 export class CrashWatch {
   constructor(
     private readonly core: DispatchCore,
-    /** Called for each job a task of which may have another standing. */
+    /** Called for each job with a task whose standing may have changed. */
     private readonly onEvidence: (now: number, job: string) => void,
   ) {}
 
-  /** Notes what ran at an endpoint that is given up since nothing is heard of it. */
+  /** Records the tasks that ran at an endpoint that counts as lost. */
   onEndpointLost(now: number, endpoint: EndpointRecord): void {
-    // What leaves as it said ends its runs without any fault.
+    // An endpoint that announced its departure ends its runs without a crash.
     if (endpoint.notice.state !== NoticeState.SERVING) return
     const { counters, endpoints } = this.core
     counters.endpoints_lost++
-    this.#note(now, this.#lossOf(endpoint, groupsOf(endpoint, endpoints.all())))
+    this.#record(now, this.#lossOf(endpoint, groupsOf(endpoint, endpoints.all())))
   }
 
-  /** Tells the next leaders of an endpoint that is gone while nothing runs there. */
+  /** Records the loss of an endpoint without runs, for later leaders. */
   onIdleEndpointLost(now: number, endpoint: EndpointRecord): void {
     if (endpoint.notice.state !== NoticeState.SERVING || this.core.losses.has(endpoint.id)) return
-    this.#note(now, this.#lossOf(endpoint, groupsOf(endpoint, this.core.endpoints.all())))
+    this.#record(now, this.#lossOf(endpoint, groupsOf(endpoint, this.core.endpoints.all())))
   }
 
   /**
-   * Tells the next leader what runs anywhere: of an endpoint that is lost before it answers that one, it
-   * could not learn it. Those that answer are cleared.
+   * Broadcasts the runs of all endpoints for the next leader, which could not learn them from an
+   * endpoint that is lost before it answers. Endpoints that do answer are cleared.
    */
   handOver(now: number): void {
     const all = [...this.core.endpoints.all()]
     const lost = all.flatMap((endpoint) => {
       const { notice, runs, unanswered, isAdopted, isReplaced } = endpoint
       const isSilent = unanswered > 0 || isReplaced
-      const isWorthTelling = runs.size > 0 || (isSilent && isAdopted)
-      if (!isWorthTelling || notice.state !== NoticeState.SERVING) return []
+      const isRelevant = runs.size > 0 || (isSilent && isAdopted)
+      if (!isRelevant || notice.state !== NoticeState.SERVING) return []
       const loss = this.#lossOf(endpoint, isSilent ? groupsOf(endpoint, all) : [])
-      return this.core.losses.take(now, loss) ? this.core.losses.tell(now, endpoint.id) : []
+      return this.core.losses.apply(now, loss) ? this.core.losses.describe(now, endpoint.id) : []
     })
-    if (lost.length > 0) this.#spread({ lost, possible: [] })
+    if (lost.length > 0) this.#broadcast({ lost, possible: [] })
   }
 
-  /** Another instance tells what it knows. */
+  /** Applies an update from another instance. */
   onTold(now: number, { lost, possible }: LossNews): void {
-    for (const one of lost) this.#take(now, one, () => undefined)
-    for (const one of possible) this.#takePossible(now, one)
+    for (const loss of lost) this.#apply(now, loss, () => undefined)
+    for (const loss of possible) this.#applyPossible(now, loss)
   }
 
-  /** Adds which endpoints were lost together with those that an earlier leader had told of as sound. */
+  /**
+   * Adds the groups that were lost to endpoints that an earlier leader had reported while they
+   * still answered.
+   */
   addGroups(now: number, groupsOfEach: ReadonlyMap<string, EndpointGroup[]>): void {
     const { losses } = this.core
     const lost = [...groupsOfEach].map(([endpoint, groups]) => {
-      return { ...losses.tell(now, endpoint), groups }
+      return { ...losses.describe(now, endpoint), groups }
     })
     if (lost.length === 0) return
-    this.#spread({ lost, possible: [] })
-    for (const one of lost) this.#take(now, one, () => undefined)
+    this.#broadcast({ lost, possible: [] })
+    for (const loss of lost) this.#apply(now, loss, () => undefined)
   }
 
-  /** Notes what may have run at endpoints that are gone, and tells all who may lead. */
-  notePossible(now: number, possible: PossibleLoss): void {
-    this.#spread({ lost: [], possible: [possible] })
-    this.#takePossible(now, possible)
+  /** Records and broadcasts which tasks may have run at missing endpoints. */
+  recordPossibleLoss(now: number, possible: PossibleLoss): void {
+    this.#broadcast({ lost: [], possible: [possible] })
+    this.#applyPossible(now, possible)
   }
 
-  /** Nothing was lost before a term, or only the way to endpoints. */
-  clearPossible(now: number, term: number): void {
+  /** Clears the possible losses of a term: no endpoint was lost, or only the connection to some. */
+  clearPossibleLoss(now: number, term: number): void {
     if (!this.core.losses.possible.has(term)) return
-    this.notePossible(now, create(PossibleLossSchema, { term, cleared: true }))
+    this.recordPossibleLoss(now, create(PossibleLossSchema, { term, cleared: true }))
   }
 
-  /** Looks at what was lost: another life shows a crash, an answer shows that there was none. */
+  /**
+   * Updates the unresolved losses: a new incarnation of an endpoint shows a crash, an answer shows
+   * that there was none.
+   */
   tick(now: number): void {
-    this.#lookAtPossible(now)
-    for (const { endpoint, tasks, lostAt } of this.core.losses.open) {
+    this.#checkPossibleLosses(now)
+    for (const { endpoint, tasks, lostAt } of this.core.losses.unresolved) {
       const record = this.core.endpoints.get(endpoint)
       if (record === undefined) continue
       if (record.isReplaced) {
         if (tasks.length > 0) this.core.counters.endpoints_crashed++
-        this.#note(now, create(LostEndpointSchema, { endpoint, crashed: true }))
+        this.#record(now, create(LostEndpointSchema, { endpoint, crashed: true }))
       } else if (record.answeredAt > lostAt) {
-        this.#note(now, create(LostEndpointSchema, { endpoint, cleared: true }))
+        this.#record(now, create(LostEndpointSchema, { endpoint, cleared: true }))
       }
     }
   }
 
-  /** The way to them was lost, and not the endpoints: nothing that may have run there is a suspect. */
-  #lookAtPossible(now: number): void {
+  /**
+   * Clears possible losses whose endpoints have all answered: only the connection to them was lost,
+   * so no task that may have run there is suspect.
+   */
+  #checkPossibleLosses(now: number): void {
     const { endpoints, losses } = this.core
-    for (const { term, endpoints: gone, lostAt } of losses.possible.open) {
-      const haveAnswered = [...gone].every((id) => (endpoints.get(id)?.answeredAt ?? 0) > lostAt)
-      if (haveAnswered && gone.size > 0) this.clearPossible(now, term)
+    for (const { term, endpoints: missing, lostAt } of losses.possible.entries) {
+      const haveAnswered = [...missing].every((id) => (endpoints.get(id)?.answeredAt ?? 0) > lostAt)
+      if (haveAnswered && missing.size > 0) this.clearPossibleLoss(now, term)
     }
   }
 
-  /** Marks the suspects among a job's tasks; gives the task for which the job has to end. */
-  judge(job: Job): JobJudgement | undefined {
-    let held: JobJudgement | undefined
+  /**
+   * Marks the suspects among a job's tasks; returns the task that is a culprit, or one that has to
+   * wait until more is known.
+   */
+  judge(job: Job): JobAssessment | undefined {
+    let held: JobAssessment | undefined
     for (const task of job.tasks) {
       if (task.state === TaskState.Done) continue
       const standing = this.core.losses.standing(task.name)
@@ -128,11 +141,11 @@
     return held
   }
 
-  /** Takes in what was found out here, and tells all who may lead. */
-  #note(now: number, lost: LostEndpoint): void {
-    this.#take(now, lost, () => {
-      const known = this.core.losses.tell(now, lost.endpoint)
-      this.#spread({ lost: [known], possible: [] })
+  /** Applies and broadcasts a finding of this instance. */
+  #record(now: number, lost: LostEndpoint): void {
+    this.#apply(now, lost, () => {
+      const known = this.core.losses.describe(now, lost.endpoint)
+      this.#broadcast({ lost: [known], possible: [] })
     })
   }
 
@@ -149,20 +162,22 @@
     })
   }
 
-  #spread(news: LossNews): void {
+  #broadcast(news: LossNews): void {
     this.core.emit({ kind: DispatchActionKind.SpreadLoss, news })
   }
 
-  #takePossible(now: number, possible: PossibleLoss): void {
-    for (const job of this.core.losses.possible.take(now, possible)) this.onEvidence(now, job)
+  #applyPossible(now: number, possible: PossibleLoss): void {
+    for (const job of this.core.losses.possible.apply(now, possible)) this.onEvidence(now, job)
   }
 
-  /** @param onNews - called before tasks are judged by it */
-  #take(now: number, lost: LostEndpoint, onNews: () => void): void {
+  /**
+   * @param onChange - called if the update changed anything, before the affected jobs are assessed
+   */
+  #apply(now: number, lost: LostEndpoint, onChange: () => void): void {
     const { losses } = this.core
     const before = losses.tasksOf(lost.endpoint)
-    if (!losses.take(now, lost)) return
-    onNews()
+    if (!losses.apply(now, lost)) return
+    onChange()
     const tasks = [...before, ...losses.tasksOf(lost.endpoint)]
     for (const job of new Set(tasks.map(jobIdOf))) this.onEvidence(now, job)
   }
--- a/packages/dispatch/src/lib/crashes/LossLedger.test.ts
+++ b/packages/dispatch/src/lib/crashes/LossLedger.test.ts
@@ -7,11 +7,11 @@
 import type { EndpointGroup, LostEndpoint } from '@cherryhitch/protocol'
 import { LossLedger } from './LossLedger'
 
-const KEEP_MS = 60_000
+const RETENTION_MS = 60_000
 const TASK = 'j.0.0.0'
 
-function open(): LossLedger {
-  return new LossLedger(new CountedCrashBlame(), KEEP_MS)
+function makeLedger(): LossLedger {
+  return new LossLedger(new CountedCrashBlame(), RETENTION_MS)
 }
 
 const defaultLost = { tasks: [TASK], unconfirmed: [] as string[], silent: 1, lostMsAgo: 0, term: 1 }
@@ -30,96 +30,96 @@
   return create(LostEndpointSchema, { endpoint, crashed: true })
 }
 
-describe('what is known of lost endpoints', () => {
-  it('makes a task the cause once two have come back as another life', () => {
-    const ledger = open()
-    ledger.take(0, lost('e1'))
+describe('the ledger of lost endpoints', () => {
+  it('names a task as the culprit once two endpoints have restarted after a crash', () => {
+    const ledger = makeLedger()
+    ledger.apply(0, lost('e1'))
     assert.equal(ledger.standing(TASK), TaskStanding.Suspect)
-    ledger.take(1, lost('e2'))
+    ledger.apply(1, lost('e2'))
     assert.equal(ledger.standing(TASK), TaskStanding.Held)
-    ledger.take(2, crashed('e1'))
+    ledger.apply(2, crashed('e1'))
     assert.equal(ledger.standing(TASK), TaskStanding.Held)
-    ledger.take(3, crashed('e2'))
+    ledger.apply(3, crashed('e2'))
     assert.equal(ledger.standing(TASK), TaskStanding.Culprit)
   })
 
-  it('counts an endpoint once, however many instances tell of it', () => {
-    const ledger = open()
-    assert.equal(ledger.take(0, lost('e1')), true)
-    assert.equal(ledger.take(1, lost('e1')), false)
-    ledger.take(2, crashed('e1'))
-    assert.equal(ledger.take(3, crashed('e1')), false)
+  it('counts an endpoint once, however many instances report it', () => {
+    const ledger = makeLedger()
+    assert.equal(ledger.apply(0, lost('e1')), true)
+    assert.equal(ledger.apply(1, lost('e1')), false)
+    ledger.apply(2, crashed('e1'))
+    assert.equal(ledger.apply(3, crashed('e1')), false)
     assert.equal(ledger.standing(TASK), TaskStanding.Suspect)
   })
 
-  it('speaks against no task once the endpoint has answered again', () => {
-    const ledger = open()
-    ledger.take(0, lost('e1'))
-    ledger.take(1, create(LostEndpointSchema, { endpoint: 'e1', cleared: true }))
+  it('clears the tasks once the endpoint has answered again', () => {
+    const ledger = makeLedger()
+    ledger.apply(0, lost('e1'))
+    ledger.apply(1, create(LostEndpointSchema, { endpoint: 'e1', cleared: true }))
     assert.equal(ledger.standing(TASK), TaskStanding.Clear)
     assert.deepEqual(ledger.all(1), { lost: [], possible: [] })
   })
 
-  it('speaks against no task when a whole rack was lost', () => {
-    const ledger = open()
+  it('suspects no task when a whole rack was lost', () => {
+    const ledger = makeLedger()
     for (const endpoint of ['e1', 'e2']) {
-      ledger.take(0, lost(endpoint, { silent: 6 }))
-      ledger.take(1, crashed(endpoint))
+      ledger.apply(0, lost(endpoint, { silent: 6 }))
+      ledger.apply(1, crashed(endpoint))
     }
     assert.equal(ledger.standing(TASK), TaskStanding.Clear)
   })
 
-  it('is the same at an instance that was told of it', () => {
-    const ledger = open()
-    ledger.take(0, lost('e1'))
-    ledger.take(0, lost('e2'))
-    ledger.take(5, crashed('e1'))
-    ledger.take(5, crashed('e2'))
-    const other = open()
-    for (const one of ledger.all(10).lost) other.take(10, one)
+  it('gives the same result at an instance that received its contents', () => {
+    const ledger = makeLedger()
+    ledger.apply(0, lost('e1'))
+    ledger.apply(0, lost('e2'))
+    ledger.apply(5, crashed('e1'))
+    ledger.apply(5, crashed('e2'))
+    const other = makeLedger()
+    for (const loss of ledger.all(10).lost) other.apply(10, loss)
     assert.equal(other.standing(TASK), TaskStanding.Culprit)
     assert.deepEqual(other.endpointsOf(TASK), ['e1', 'e2'])
   })
 
-  it('is what the last leader read there, without what had ended', () => {
-    const ledger = open()
-    ledger.take(0, lost('e1', { tasks: [TASK, 'k.0.0.0'] }))
-    ledger.take(1, lost('e1', { tasks: ['k.0.0.0'], term: 2 }))
-    assert.equal(ledger.take(2, lost('e1')), false)
+  it('keeps only the tasks that the latest leader reported', () => {
+    const ledger = makeLedger()
+    ledger.apply(0, lost('e1', { tasks: [TASK, 'k.0.0.0'] }))
+    ledger.apply(1, lost('e1', { tasks: ['k.0.0.0'], term: 2 }))
+    assert.equal(ledger.apply(2, lost('e1')), false)
     assert.equal(ledger.standing(TASK), TaskStanding.Clear)
     assert.equal(ledger.standing('k.0.0.0'), TaskStanding.Suspect)
   })
 
-  it('blames no task whose order to start had no answer for the crash of an endpoint', () => {
-    const ledger = open()
+  it('does not blame a crash on a task whose order to start was not answered', () => {
+    const ledger = makeLedger()
     for (const endpoint of ['e1', 'e2']) {
-      ledger.take(0, lost(endpoint, { unconfirmed: endpoint === 'e2' ? [TASK] : [] }))
-      ledger.take(1, crashed(endpoint))
+      ledger.apply(0, lost(endpoint, { unconfirmed: endpoint === 'e2' ? [TASK] : [] }))
+      ledger.apply(1, crashed(endpoint))
     }
     assert.equal(ledger.standing(TASK), TaskStanding.Suspect)
   })
 
-  it('speaks against no task when all that was left of a rack was lost', () => {
-    const ledger = open()
+  it('suspects no task when all remaining endpoints of a rack were lost', () => {
+    const ledger = makeLedger()
     for (const endpoint of ['e1', 'e2']) {
       const groups = [{ name: 'rack', size: 2, silent: 2 }]
-      ledger.take(0, { ...lost(endpoint), groups: groups.map(asGroup) })
-      ledger.take(1, crashed(endpoint))
+      ledger.apply(0, { ...lost(endpoint), groups: groups.map(asGroup) })
+      ledger.apply(1, crashed(endpoint))
     }
     assert.equal(ledger.standing(TASK), TaskStanding.Clear)
   })
 
-  it('is forgotten after a while', () => {
-    const ledger = open()
-    ledger.take(0, lost('e1'))
-    ledger.take(KEEP_MS, lost('e2', { tasks: ['other.0.0.0'] }))
+  it('removes losses after the retention period', () => {
+    const ledger = makeLedger()
+    ledger.apply(0, lost('e1'))
+    ledger.apply(RETENTION_MS, lost('e2', { tasks: ['other.0.0.0'] }))
     assert.equal(ledger.standing(TASK), TaskStanding.Clear)
   })
 
-  it('holds against what an endpoint got after the first news of its loss', () => {
-    const ledger = open()
-    ledger.take(0, lost('e1', { tasks: ['k.0.0.0'] }))
-    assert.equal(ledger.take(5, lost('e1')), true)
+  it('suspects tasks that an endpoint was given after the first report of its loss', () => {
+    const ledger = makeLedger()
+    ledger.apply(0, lost('e1', { tasks: ['k.0.0.0'] }))
+    assert.equal(ledger.apply(5, lost('e1')), true)
     assert.equal(ledger.standing(TASK), TaskStanding.Suspect)
     assert.equal(ledger.standing('k.0.0.0'), TaskStanding.Suspect)
   })
--- a/packages/dispatch/src/lib/crashes/LossLedger.ts
+++ b/packages/dispatch/src/lib/crashes/LossLedger.ts
@@ -7,42 +7,42 @@
 import type { LossNews } from './LossNews'
 import { PossibleLosses } from './PossibleLosses'
 
-/** Losses remembered at most. */
+/** Maximum number of losses kept. */
 const MAX_LOSSES = 1_000
 
 interface Loss {
   readonly endpoint: string
   readonly tasks: readonly string[]
-  /** Those of them that may not have begun. */
+  /** Those of `tasks` that may not have started. */
   readonly unconfirmed: readonly string[]
   readonly groups: readonly EndpointGroup[]
   readonly lostAt: number
-  /** Term of the leader that told what ran there. */
+  /** Term of the leader that reported which tasks ran there. */
   readonly term: number
   isCrash: boolean
 }
 
-/** What is known of endpoints that were lost, and of the tasks that ran there. @internal */
+/** Keeps what is known of lost endpoints and of the tasks that ran there. @internal */
 export class LossLedger {
   readonly #losses = new Map<string, Loss>()
   readonly #byTask = new Map<string, Loss[]>()
   #changes = 0
-  /** Losses of which it is not known what ran there. */
+  /** Losses for which it is not known which tasks ran there. */
   readonly possible: PossibleLosses
 
   constructor(
     private readonly blame: CrashBlame,
-    private readonly keepMs: number,
+    private readonly retentionMs: number,
   ) {
-    this.possible = new PossibleLosses(keepMs)
+    this.possible = new PossibleLosses(retentionMs)
   }
 
-  /** Losses of which it is not known yet whether they were crashes. */
-  get open(): readonly Readonly<Loss>[] {
+  /** Losses that are not yet known to be crashes. */
+  get unresolved(): readonly Readonly<Loss>[] {
     return [...this.#losses.values()].filter(({ isCrash }) => !isCrash)
   }
 
-  /** How often something new was taken in. */
+  /** Number of updates that changed anything, plus all updates of possible losses. */
   get changes(): number {
     return this.#changes + this.possible.changes
   }
@@ -52,8 +52,11 @@
     return this.#losses.has(endpoint)
   }
 
-  /** Whether an endpoint was sound when it was told what ran there, as far as is known. */
-  wasSound(endpoint: string): boolean {
+  /**
+   * Whether an endpoint still answered when its tasks were reported, as far as is known: groups are
+   * only recorded for endpoints that did not.
+   */
+  wasResponsive(endpoint: string): boolean {
     return this.#losses.get(endpoint)?.groups.length === 0
   }
 
@@ -62,26 +65,26 @@
     return this.#losses.get(endpoint)?.tasks ?? []
   }
 
-  /** Takes in what is known of a loss, here or at another instance; false when it is nothing new. */
-  take(now: number, told: LostEndpoint): boolean {
-    this.#forget(now)
-    const isNew = this.#takeIn(now, told)
+  /** Applies an update from this or another instance; returns whether it changed anything. */
+  apply(now: number, update: LostEndpoint): boolean {
+    this.#expire(now)
+    const isNew = this.#merge(now, update)
     if (isNew) this.#changes++
     return isNew
   }
 
-  #takeIn(now: number, told: LostEndpoint): boolean {
-    if (told.cleared) return this.#remove(told.endpoint)
-    const known = this.#losses.get(told.endpoint)
+  #merge(now: number, update: LostEndpoint): boolean {
+    if (update.cleared) return this.#remove(update.endpoint)
+    const known = this.#losses.get(update.endpoint)
     if (known !== undefined) {
       if (known.isCrash) return false
-      if (told.tasks.length > 0 && told.term < known.term) return false
-      if (isFuller(told, known)) return this.#replace(now, known, told)
-      if (!told.crashed) return false
+      if (update.tasks.length > 0 && update.term < known.term) return false
+      if (hasMoreDetail(update, known)) return this.#replace(now, known, update)
+      if (!update.crashed) return false
       known.isCrash = true
       return true
     }
-    const { endpoint, tasks, unconfirmed, groups, crashed: isCrash, lostMsAgo, term } = told
+    const { endpoint, tasks, unconfirmed, groups, crashed: isCrash, lostMsAgo, term } = update
     const ran = { endpoint, tasks, unconfirmed, groups }
     const loss = { ...ran, isCrash, term, lostAt: now - lostMsAgo }
     this.#losses.set(endpoint, loss)
@@ -89,10 +92,10 @@
     return true
   }
 
-  /** What the losses under a task say of it. */
+  /** Judges a task by the endpoints that were lost while it ran there. */
   standing(task: string): TaskStanding {
     const known = this.#byTask.get(task) ?? []
-    const possible = this.possible.under(task)
+    const possible = this.possible.forTask(task)
     if (known.length + possible.length === 0) return TaskStanding.Clear
     const seen = known.map(({ isCrash, groups, unconfirmed }): LossUnderTask => {
       return { isCrash, isShared: isShared(groups), isPossible: unconfirmed.includes(task) }
@@ -100,37 +103,39 @@
     return this.blame.standing([...seen, ...possible])
   }
 
-  /** Endpoints that were lost under a task. */
+  /** Endpoints that were lost while a task ran there. */
   endpointsOf(task: string): readonly string[] {
     return (this.#byTask.get(task) ?? []).map(({ endpoint }) => endpoint)
   }
 
-  /** All that is known, for another instance. */
+  /** Everything known, to be sent to another instance. */
   all(now: number): LossNews {
     const lost = [...this.#losses.values()].map((loss) => toMessage(now, loss))
     return { lost, possible: this.possible.all(now) }
   }
 
-  /** What is known of one loss, for other instances. */
-  tell(now: number, endpoint: string): LostEndpoint {
+  /** What is known of one loss, to be sent to other instances. */
+  describe(now: number, endpoint: string): LostEndpoint {
     const loss = this.#losses.get(endpoint)
     if (loss !== undefined) return toMessage(now, loss)
     return create(LostEndpointSchema, { endpoint, cleared: true })
   }
 
   /**
-   * The endpoint went on after it was first told of: what it got since was lost with it. A later leader has
-   * read its lists again, and knows what of the earlier ones' had ended.
+   * Replaces a known loss by a more detailed one. The endpoint may have been given more tasks after
+   * its first report; those were lost with it. A later leader has read its run lists again, and
+   * knows which of the earlier tasks had ended.
    */
-  #replace(now: number, known: Loss, told: LostEndpoint): boolean {
+  #replace(now: number, known: Loss, update: LostEndpoint): boolean {
     this.#remove(known.endpoint)
-    const isTold = (task: string): boolean => told.term > known.term || told.tasks.includes(task)
-    const tasks = known.tasks.filter((task) => !isTold(task))
-    const unconfirmed = known.unconfirmed.filter((task) => !isTold(task))
-    return this.#takeIn(now, {
-      ...told,
-      tasks: [...tasks, ...told.tasks],
-      unconfirmed: [...unconfirmed, ...told.unconfirmed],
+    const isSuperseded = (task: string): boolean =>
+      update.term > known.term || update.tasks.includes(task)
+    const tasks = known.tasks.filter((task) => !isSuperseded(task))
+    const unconfirmed = known.unconfirmed.filter((task) => !isSuperseded(task))
+    return this.#merge(now, {
+      ...update,
+      tasks: [...tasks, ...update.tasks],
+      unconfirmed: [...unconfirmed, ...update.unconfirmed],
     })
   }
 
@@ -142,9 +147,9 @@
     return losses
   }
 
-  #forget(now: number): void {
+  #expire(now: number): void {
     for (const { endpoint, lostAt } of this.#losses.values()) {
-      if (now - lostAt < this.keepMs && this.#losses.size < MAX_LOSSES) return
+      if (now - lostAt < this.retentionMs && this.#losses.size < MAX_LOSSES) return
       this.#remove(endpoint)
     }
   }
@@ -162,11 +167,11 @@
   }
 }
 
-/** Whether a loss is told of with more than is known of it. */
-function isFuller(told: LostEndpoint, known: Loss): boolean {
-  if (told.term > known.term && told.tasks.length < known.tasks.length) return true
-  if (told.tasks.some((task) => !known.tasks.includes(task))) return true
-  return known.groups.length === 0 && told.groups.length > 0
+/** Whether an update has more detail than is known of a loss. */
+function hasMoreDetail(update: LostEndpoint, known: Loss): boolean {
+  if (update.term > known.term && update.tasks.length < known.tasks.length) return true
+  if (update.tasks.some((task) => !known.tasks.includes(task))) return true
+  return known.groups.length === 0 && update.groups.length > 0
 }
 
 function toMessage(now: number, { isCrash: crashed, lostAt, ...loss }: Loss): LostEndpoint {
--- a/packages/dispatch/src/lib/crashes/LossNews.ts
+++ b/packages/dispatch/src/lib/crashes/LossNews.ts
@@ -1,8 +1,8 @@
 import type { LostEndpoint, PossibleLoss } from '@cherryhitch/protocol'
 
-/** What instances tell each other of endpoints that were lost. @public */
+/** Information about lost endpoints that instances exchange. @public */
 export interface LossNews {
   readonly lost: readonly LostEndpoint[]
-  /** Losses of which it is not known what ran there. */
+  /** Losses for which it is not known which tasks ran there. */
   readonly possible: readonly PossibleLoss[]
 }
--- a/packages/dispatch/src/lib/crashes/PossibleLosses.ts
+++ b/packages/dispatch/src/lib/crashes/PossibleLosses.ts
@@ -4,11 +4,12 @@
 import type { LossUnderTask } from '@cherryhitch/policy'
 import { jobIdOf } from '../jobs/jobIdOf'
 
-interface Possible {
+/** The possible losses that a leader found when its term began. */
+interface TermLosses {
   readonly term: number
   readonly endpoints: Set<string>
   readonly tasks: Set<string>
-  /** How often each ended without an answer. */
+  /** Number of times that each job ended without an answer, by job id. */
   readonly jobs: Map<string, number>
   isShared: boolean
   readonly lostAt: number
@@ -17,22 +18,22 @@
 const UNKNOWN_LOSS: LossUnderTask = { isCrash: false, isShared: false, isPossible: true }
 
 /**
- * What may have run at endpoints that were gone when a new leader asked them, by its term: a task was
- * lost at one of them at most.
+ * Keeps what may have run at endpoints that were missing when a new leader polled them, by its
+ * term. A task can have been lost at only one of them, so it counts once in each term.
  *
  * @internal
  */
 export class PossibleLosses {
-  readonly #byTerm = new Map<number, Possible>()
+  readonly #byTerm = new Map<number, TermLosses>()
   #changes = 0
 
-  constructor(private readonly keepMs: number) {}
+  constructor(private readonly retentionMs: number) {}
 
-  get open(): IterableIterator<Readonly<Possible>> {
+  get entries(): IterableIterator<Readonly<TermLosses>> {
     return this.#byTerm.values()
   }
 
-  /** How often something new was taken in. */
+  /** Number of updates that were applied. */
   get changes(): number {
     return this.#changes
   }
@@ -42,40 +43,40 @@
     return this.#byTerm.has(term)
   }
 
-  /** Whether it is known of an endpoint that it was gone. */
+  /** Whether an endpoint is known to have been missing. */
   hasEndpoint(endpoint: string): boolean {
     for (const { endpoints } of this.#byTerm.values()) if (endpoints.has(endpoint)) return true
     return false
   }
 
   /**
-   * Takes in what is known here or at another instance. One without endpoints is of a leader that has not
-   * asked all of them yet.
+   * Applies an update from this or another instance. An update without endpoints is from a leader
+   * that has not polled all of them yet.
    *
-   * @returns the jobs that it speaks for or against; none when it is nothing new
+   * @returns the jobs that it affects; none if it contains nothing new
    */
-  take(now: number, told: PossibleLoss): ReadonlySet<string> {
-    this.#forget(now)
+  apply(now: number, update: PossibleLoss): ReadonlySet<string> {
+    this.#expire(now)
     this.#changes++
-    const known = this.#byTerm.get(told.term)
-    if (told.cleared) {
-      this.#byTerm.delete(told.term)
+    const known = this.#byTerm.get(update.term)
+    if (update.cleared) {
+      this.#byTerm.delete(update.term)
       return known === undefined ? new Set() : jobsOf(known)
     }
-    const loss = known ?? this.#begin(now, told)
-    addAll(loss.endpoints, told.endpoints)
-    loss.isShared = told.shared
-    const tasks = addAll(loss.tasks, told.tasks)
-    const news = told.jobs.filter(({ jobId, times }) => times > (loss.jobs.get(jobId) ?? 0))
-    for (const { jobId, times } of news) loss.jobs.set(jobId, times)
-    return new Set([...tasks.map(jobIdOf), ...news.map(({ jobId }) => jobId)])
+    const loss = known ?? this.#add(now, update)
+    addAll(loss.endpoints, update.endpoints)
+    loss.isShared = update.shared
+    const tasks = addAll(loss.tasks, update.tasks)
+    const raised = update.jobs.filter(({ jobId, times }) => times > (loss.jobs.get(jobId) ?? 0))
+    for (const { jobId, times } of raised) loss.jobs.set(jobId, times)
+    return new Set([...tasks.map(jobIdOf), ...raised.map(({ jobId }) => jobId)])
   }
 
   /**
-   * What may have been lost under a task: once before each of the terms, and as often as its job ended
-   * without an answer, in case that some of these terms are not known here.
+   * Returns the possible losses for a task: one for each term that lists it, and at least as many
+   * as the times its job ended without an answer, since some of those terms may not be known here.
    */
-  under(task: string): LossUnderTask[] {
+  forTask(task: string): LossUnderTask[] {
     const losses: LossUnderTask[] = []
     if (this.#byTerm.size === 0) return losses
     const job = jobIdOf(task)
@@ -90,12 +91,12 @@
     return losses
   }
 
-  /** All that is known, for another instance. */
+  /** Everything known, to be sent to another instance. */
   all(now: number): PossibleLoss[] {
     return [...this.#byTerm.values()].map((loss) => toMessage(now, loss))
   }
 
-  #begin(now: number, { term, lostMsAgo }: PossibleLoss): Possible {
+  #add(now: number, { term, lostMsAgo }: PossibleLoss): TermLosses {
     const loss = {
       term,
       endpoints: new Set<string>(),
@@ -108,25 +109,25 @@
     return loss
   }
 
-  #forget(now: number): void {
+  #expire(now: number): void {
     for (const { term, lostAt } of this.#byTerm.values()) {
-      if (now - lostAt >= this.keepMs) this.#byTerm.delete(term)
+      if (now - lostAt >= this.retentionMs) this.#byTerm.delete(term)
     }
   }
 }
 
-/** @returns those that were not in the set */
+/** Adds names to a set; returns those that were not in it. */
 function addAll(set: Set<string>, names: readonly string[]): string[] {
   const added = names.filter((name) => !set.has(name))
   for (const name of added) set.add(name)
   return added
 }
 
-function jobsOf({ tasks, jobs }: Possible): Set<string> {
+function jobsOf({ tasks, jobs }: TermLosses): Set<string> {
   return new Set([...[...tasks].map(jobIdOf), ...jobs.keys()])
 }
 
-function toMessage(now: number, loss: Possible): PossibleLoss {
+function toMessage(now: number, loss: TermLosses): PossibleLoss {
   const { term, endpoints, tasks, jobs, isShared: shared, lostAt } = loss
   return create(PossibleLossSchema, {
     term,
--- a/packages/dispatch/src/lib/crashes/UnlistedTasks.ts
+++ b/packages/dispatch/src/lib/crashes/UnlistedTasks.ts
@@ -9,69 +9,70 @@
 import type { CrashWatch } from './CrashWatch'
 import { groupsAmong, isShared } from './groupsOf'
 
-/** Endpoints that an earlier leader may have used, and that tell this one nothing. */
-interface GoneEndpoints {
+/** Endpoints that an earlier leader may have used, and that have not answered this one. */
+interface MissingEndpoints {
   readonly ids: readonly string[]
   readonly isShared: boolean
 }
 
 /**
- * Finds out which tasks of earlier leaders may have been lost without anybody's knowing: those that
- * were open and that no endpoint lists, while endpoints are gone. Each of them may be the cause of such
- * a loss, and so runs apart from others when it starts again.
+ * Finds tasks of earlier leaders that may have been lost without any record: those that were not
+ * done and that no endpoint reports, while endpoints are missing. Each of them may be the cause of
+ * such a loss, and so runs apart from other tasks when it is restarted.
  *
- * It answers leaders that end without a word just after a task has taken its endpoint down. It costs
- * nothing while a leader lasts, since it takes the absence of a run for the evidence of a start.
+ * This covers leaders that terminate without a handover just after a task has crashed its endpoint.
+ * It costs nothing during a leader's term, since the absence of a reported run is what counts as
+ * evidence of a start.
  *
  * @internal
  */
 export class UnlistedTasks {
-  /** Undefined until all endpoints have told what runs there, or were found to be gone. */
-  #gone: GoneEndpoints | undefined
-  /** Jobs of earlier leaders that became known before that; some may have ended since. */
+  /** Undefined until all endpoints have reported their runs, or were found to be missing. */
+  #missing: MissingEndpoints | undefined
+  /** Jobs of earlier leaders discovered before `#missing` is set; some may have ended since. */
   readonly #earlier = new Map<string, UnansweredJob>()
-  /** Endpoints that were forgotten before that, since another life had followed them, and when. */
-  readonly #forgotten = new Map<EndpointRecord, number>()
+  /** Replaced endpoints that were removed before `#missing` is set, with the time of removal. */
+  readonly #removed = new Map<EndpointRecord, number>()
 
   constructor(
     private readonly core: DispatchCore,
     private readonly crashes: CrashWatch,
   ) {}
 
-  /** Whether it is known which endpoints are gone: tasks of earlier leaders may start again after that. */
+  /** Whether the missing endpoints are known; tasks of earlier leaders are restarted only then. */
   get isDone(): boolean {
-    return this.#gone !== undefined
+    return this.#missing !== undefined
   }
 
-  /** Another leader begins. */
+  /** Resets the state for a new term. */
   clear(): void {
-    this.#gone = undefined
+    this.#missing = undefined
     this.#earlier.clear()
   }
 
-  /** An endpoint goes from the directory. */
+  /** An endpoint is being removed from the registry. */
   onForgotten(now: number, endpoint: EndpointRecord): void {
-    if (this.#gone === undefined && endpoint.isReplaced) this.#forgotten.set(endpoint, now)
+    if (this.#missing === undefined && endpoint.isReplaced) this.#removed.set(endpoint, now)
   }
 
-  /** Looks for gone endpoints as soon as all have had the time to answer, once in a term. */
+  /** Determines the missing endpoints once a term, as soon as all have had the time to answer. */
   look(now: number, jobs: Iterable<Job>): void {
-    if (this.#gone !== undefined || !this.#haveAllBeenAsked(now)) return
-    this.#gone = this.#findGone(now)
-    if (this.#gone.ids.length === 0) {
-      this.crashes.clearPossible(now, this.core.term ?? 0)
+    if (this.#missing !== undefined || !this.#haveAllBeenAsked(now)) return
+    this.#missing = this.#findMissing(now)
+    if (this.#missing.ids.length === 0) {
+      this.crashes.clearPossibleLoss(now, this.core.term ?? 0)
       return
     }
     const open = [...jobs].filter(({ isResumed }) => isResumed)
     for (const { id } of open) this.#earlier.delete(id)
-    this.#note(now, open.flatMap(unlistedTasks), [...this.#earlier.values()])
+    this.#recordPossibleLoss(now, open.flatMap(unlistedTasks), [...this.#earlier.values()])
     this.#earlier.clear()
   }
 
-  /** A job has come that was not known here. */
+  /** A job arrived that was not known here. */
   onJob(now: number, job: Job): void {
-    if (this.#gone !== undefined) {
-      if (job.isResumed) this.#note(now, unlistedTasks(job), [])
+    if (this.#missing !== undefined) {
+      if (job.isResumed) this.#recordPossibleLoss(now, unlistedTasks(job), [])
       return
     }
     const { id: jobId, isResumed } = job
@@ -80,14 +81,17 @@
       const times = (earlier?.times ?? 0) + 1
       this.#earlier.set(jobId, create(UnansweredJobSchema, { jobId, times }))
     } else if (earlier !== undefined) {
-      // Its caller has sent it again: it starts before it is known which endpoints are gone.
-      this.#note(now, [], [earlier])
+      // Its caller has resubmitted it: it starts before the missing endpoints are known.
+      this.#recordPossibleLoss(now, [], [earlier])
     }
   }
 
-  /** An entry had these jobs with an earlier leader, and gave them up: their callers may send them again. */
+  /**
+   * An entry instance gave up these jobs, which it had submitted to an earlier leader; their
+   * callers may resubmit them.
+   */
   onUnanswered(now: number, jobs: readonly UnansweredJob[]): void {
-    if (this.#gone !== undefined) this.#note(now, [], jobs)
+    if (this.#missing !== undefined) this.#recordPossibleLoss(now, [], jobs)
     else for (const job of jobs) this.#earlier.set(job.jobId, job)
   }
 
@@ -99,50 +103,50 @@
     return true
   }
 
-  #findGone(now: number): GoneEndpoints {
+  #findMissing(now: number): MissingEndpoints {
     const { losses } = this.core
-    const all = [...this.core.endpoints.all(), ...this.#takeForgotten(now)]
-    const gone = all.filter((endpoint) => this.#isGone(endpoint))
-    const toldOf = [...groupsAmong(gone, all)].filter(([{ id }]) => losses.wasSound(id))
-    this.crashes.addGroups(now, new Map(toldOf.map(([{ id }, groups]) => [id, groups])))
-    const unknown = gone.filter(({ id }) => !losses.has(id))
+    const all = [...this.core.endpoints.all(), ...this.#takeRemoved(now)]
+    const missing = all.filter((endpoint) => this.#isMissing(endpoint))
+    const reported = [...groupsAmong(missing, all)].filter(([{ id }]) => losses.wasResponsive(id))
+    this.crashes.addGroups(now, new Map(reported.map(([{ id }, groups]) => [id, groups])))
+    const unknown = missing.filter(({ id }) => !losses.has(id))
     const groups = [...groupsAmong(unknown, all).values()]
     return { ids: unknown.map(({ id }) => id), isShared: groups.every(isShared) }
   }
 
-  /** Those of a term that ended before the look count as well. */
-  #takeForgotten(now: number): EndpointRecord[] {
+  /** Includes endpoints removed in an earlier term that ended before its check. */
+  #takeRemoved(now: number): EndpointRecord[] {
     const { forgetEndpointMs } = this.core.timing
-    const lately = [...this.#forgotten].filter(([, at]) => now - at < forgetEndpointMs)
-    this.#forgotten.clear()
+    const lately = [...this.#removed].filter(([, at]) => now - at < forgetEndpointMs)
+    this.#removed.clear()
     return lately.map(([endpoint]) => endpoint)
   }
 
-  /** Not those whose loss an earlier leader has noticed. */
-  #isGone({ id, notice, isAdopted }: EndpointRecord): boolean {
+  /** Excludes endpoints whose loss an earlier leader has already recorded. */
+  #isMissing({ id, notice, isAdopted }: EndpointRecord): boolean {
     if (isAdopted || notice.state !== NoticeState.SERVING) return false
     const { losses } = this.core
-    return losses.has(id) ? losses.wasSound(id) : !losses.possible.hasEndpoint(id)
+    return losses.has(id) ? losses.wasResponsive(id) : !losses.possible.hasEndpoint(id)
   }
 
-  #note(now: number, tasks: readonly string[], jobs: readonly UnansweredJob[]): void {
-    const { ids = [], isShared = false } = this.#gone ?? {}
+  #recordPossibleLoss(now: number, tasks: readonly string[], jobs: readonly UnansweredJob[]): void {
+    const { ids = [], isShared = false } = this.#missing ?? {}
     const { term } = this.core
     if (term === undefined || tasks.length + jobs.length === 0) return
-    if (this.#gone !== undefined && ids.length === 0) return
+    if (this.#missing !== undefined && ids.length === 0) return
     const fields = { term, endpoints: [...ids], shared: isShared }
-    this.core.log('tasks of an earlier leader may have run at endpoints that are gone', {
+    this.core.log('tasks of an earlier leader may have run at endpoints that are missing', {
       ...fields,
       tasks: tasks.length,
       jobs: jobs.length,
     })
     this.core.counters.tasks_doubted += tasks.length
     const more = { tasks: [...tasks], jobs: [...jobs] }
-    this.crashes.notePossible(now, create(PossibleLossSchema, { ...fields, ...more }))
+    this.crashes.recordPossibleLoss(now, create(PossibleLossSchema, { ...fields, ...more }))
   }
 }
 
-/** Tasks of a job that are not known to run, or to be done. */
+/** Names of the tasks of a job that are neither known to run nor done. */
 function unlistedTasks({ tasks }: Job): string[] {
   const unlisted = tasks.filter(({ run, state }) => {
     return run === undefined && state !== TaskState.Done
--- a/packages/dispatch/src/lib/crashes/groupsOf.ts
+++ b/packages/dispatch/src/lib/crashes/groupsOf.ts
@@ -2,51 +2,58 @@
 import type { EndpointGroup, EndpointNotice } from '@cherryhitch/protocol'
 import { create } from '@bufbuild/protobuf'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
-import { lossSpan, mostTogether } from './LossSpan'
-import type { LossSpan } from './LossSpan'
+import { lossWindow, maxConcurrentLosses } from './LossWindow'
+import type { LossWindow } from './LossWindow'
 
-/** Endpoints of a group, and their share of it, that aren't lost at once by tasks of their own. */
-const LEAST_SHARED = 4
-const SHARED_SHARE = 0.1
-/** The same of a group of which none is left. */
-const LEAST_WHOLE = 2
+/**
+ * Minimum number of endpoints of a group, and minimum fraction of the group, that have to be lost
+ * at once to rule out that each of them was crashed by a task of its own.
+ */
+const MIN_SHARED_LOSSES = 4
+const MIN_SHARED_FRACTION = 0.1
+/** Like `MIN_SHARED_LOSSES`, for a group of which no endpoint is left. */
+const MIN_WHOLE_GROUP_LOSSES = 2
 
-/** Asked for all endpoints at each loss, and many are lost at once. */
-const knownNames = new WeakMap<EndpointNotice, readonly string[]>()
+/** Cached, since each loss needs the names for all endpoints, and many are lost at once. */
+const groupNamesCache = new WeakMap<EndpointNotice, readonly string[]>()
 
-/** What an endpoint shares with others: its service, its zone and its labels, of which one may name a rack. */
+/**
+ * Names of the groups (possible failure domains) of an endpoint: its service, its availability zone
+ * and its labels, one of which may name a rack.
+ */
 function groupNames(notice: EndpointNotice): readonly string[] {
-  const known = knownNames.get(notice)
+  const known = groupNamesCache.get(notice)
   if (known !== undefined) return known
   const { service, zone, labels } = notice
   const ofLabels = labels.map((label) => `label ${service} ${label}`)
   const names = [`service ${service}`, `zone ${service} ${zone}`, ...ofLabels]
-  knownNames.set(notice, names)
+  groupNamesCache.set(notice, names)
   return names
 }
 
 /**
- * The groups of a lost endpoint, and how many of each may have been lost at the same moment.
+ * Returns the groups of a lost endpoint, and how many of each may have been lost at the same
+ * moment.
  *
  * @internal
  */
 export function groupsOf(lost: EndpointRecord, all: Iterable<EndpointRecord>): EndpointGroup[] {
-  const span = lossSpan(lost) ?? { after: Infinity, until: Infinity }
+  const window = lossWindow(lost) ?? { after: Infinity, until: Infinity }
   return membersOf(lost, all).map(([name, members]) => {
-    const spans = members.flatMap((member) => lossSpan(member) ?? [])
-    const silent = mostTogether(span, spans)
-    const present = members.filter((member) => wasPresent(member, span))
+    const windows = members.flatMap((member) => lossWindow(member) ?? [])
+    const silent = maxConcurrentLosses(window, windows)
+    const present = members.filter((member) => wasPresent(member, window))
     return create(EndpointGroupSchema, { name, size: present.length, silent })
   })
 }
 
-/** Whether an endpoint was there when another one was lost, as far as this leader knows. */
-function wasPresent(endpoint: EndpointRecord, { after, until }: LossSpan): boolean {
-  return endpoint.adoptedAt <= until && (lossSpan(endpoint)?.until ?? Infinity) > after
+/** Whether an endpoint was present when another one was lost, as far as this leader knows. */
+function wasPresent(endpoint: EndpointRecord, { after, until }: LossWindow): boolean {
+  return endpoint.syncedAt <= until && (lossWindow(endpoint)?.until ?? Infinity) > after
 }
 
 /**
- * The groups of endpoints that were all lost together, and how many of each these are.
+ * Returns the groups of endpoints that count as lost together, with the number lost in each group.
  *
  * @internal
  */
@@ -64,18 +71,23 @@
   }
   for (const { notice } of all) for (const name of groupNames(notice)) groupOf(name).size++
   for (const { notice } of lost) for (const name of groupNames(notice)) groupOf(name).silent++
-  return new Map(lost.map((one) => [one, groupNames(one.notice).map(groupOf)]))
+  return new Map(lost.map((record) => [record, groupNames(record.notice).map(groupOf)]))
 }
 
-/** Whether so many endpoints of a group were lost at once that no task of one was the cause. @internal */
+/**
+ * Whether so many endpoints of one group were lost at once that a task on one of them can't be the
+ * cause.
+ *
+ * @internal
+ */
 export function isShared(groups: readonly EndpointGroup[]): boolean {
   return groups.some(({ size, silent }) => {
-    const isWhole = silent >= LEAST_WHOLE && silent >= size
-    return isWhole || (silent >= LEAST_SHARED && silent >= SHARED_SHARE * size)
+    const isWhole = silent >= MIN_WHOLE_GROUP_LOSSES && silent >= size
+    return isWhole || (silent >= MIN_SHARED_LOSSES && silent >= MIN_SHARED_FRACTION * size)
   })
 }
 
-/** The groups of an endpoint by their names, itself included. */
+/** Returns the groups of an endpoint by name, with their members, itself included. */
 function membersOf(
   { notice }: EndpointRecord,
   all: Iterable<EndpointRecord>,
--- a/packages/dispatch/src/lib/endpoints/EndpointBook.test.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointBook.test.ts
@@ -20,59 +20,59 @@
   })
 }
 
-function open(): EndpointBook {
+function makeRegistry(): EndpointBook {
   return new EndpointBook(defaultDispatchTiming, new AlwaysHealthy(), new SlownessTracker())
 }
 
-describe('the lives of a machine', () => {
-  it('count their notices each by itself', () => {
-    const book = open()
-    book.take(0, notice('i~1', 48))
-    const next = book.take(1, notice('i~2', 1))
-    assert.ok(book.take(2, notice('i~2', 4, NoticeState.LEAVING)))
+describe('the incarnations of a machine', () => {
+  it('have independent notice sequences', () => {
+    const registry = makeRegistry()
+    registry.take(0, notice('i~1', 48))
+    const next = registry.take(1, notice('i~2', 1))
+    assert.ok(registry.take(2, notice('i~2', 4, NoticeState.LEAVING)))
     assert.equal(next?.notice.state, NoticeState.LEAVING)
-    assert.equal(book.get('i~1')?.notice.state, NoticeState.SERVING)
+    assert.equal(registry.get('i~1')?.notice.state, NoticeState.SERVING)
   })
 
-  it('are ordered under higher numbers the later they became known', () => {
-    const book = open()
-    const first = book.take(0, notice('i~5', 1))
-    const second = book.take(1, notice('i~3', 1))
+  it('get higher incarnation numbers the later they are discovered', () => {
+    const registry = makeRegistry()
+    const first = registry.take(0, notice('i~5', 1))
+    const second = registry.take(1, notice('i~3', 1))
     assert.ok(first !== undefined && second !== undefined)
     assert.ok(second.lifeNumber > first.lifeNumber)
-    book.raiseLifeNumber(first)
+    registry.raiseIncarnationNumber(first)
     assert.equal(first.lifeNumber, second.lifeNumber)
   })
 
-  it('are ordered under a higher number also when those before are forgotten', () => {
-    const book = open()
-    const first = book.take(0, notice('i~1', 1))
+  it('get a higher incarnation number even after the earlier ones were removed', () => {
+    const registry = makeRegistry()
+    const first = registry.take(0, notice('i~1', 1))
     assert.ok(first !== undefined)
-    book.remove(first)
-    const second = book.take(1, notice('i~2', 1))
+    registry.remove(first)
+    const second = registry.take(1, notice('i~2', 1))
     assert.ok(second !== undefined && second.lifeNumber > first.lifeNumber)
   })
 
-  it('end with a goodbye that names none of them, if they have said that they leave', () => {
-    const book = open()
-    book.take(0, notice('i~1', 1, NoticeState.LEAVING))
-    book.take(1, notice('i~2', 1))
-    const goodbye = notice('i', Number.MAX_SAFE_INTEGER, NoticeState.GONE)
-    assert.deepEqual(book.namedBy(goodbye), ['i~1'])
+  it('end with a GONE notice that names only the machine, if they have announced LEAVING', () => {
+    const registry = makeRegistry()
+    registry.take(0, notice('i~1', 1, NoticeState.LEAVING))
+    registry.take(1, notice('i~2', 1))
+    const gone = notice('i', Number.MAX_SAFE_INTEGER, NoticeState.GONE)
+    assert.deepEqual(registry.namedBy(gone), ['i~1'])
   })
 
-  it('are not joined by one without a name of its own', () => {
-    const book = open()
-    book.take(0, notice('i~1', 1))
-    assert.equal(book.take(1, notice('i', 9)), undefined)
-    assert.equal(book.size, 1)
+  it('are not joined by a notice without an incarnation of its own', () => {
+    const registry = makeRegistry()
+    registry.take(0, notice('i~1', 1))
+    assert.equal(registry.take(1, notice('i', 9)), undefined)
+    assert.equal(registry.size, 1)
   })
 
-  it('are told apart where the first notices named none', () => {
-    const book = open()
-    const nameless = book.take(0, notice('i', 9))
-    const named = book.take(1, notice('i~1', 1))
-    assert.ok(nameless !== undefined && named !== undefined)
-    assert.deepEqual(book.otherLives(named), [nameless])
+  it('are kept apart when the first notices named no incarnation', () => {
+    const registry = makeRegistry()
+    const withoutIncarnation = registry.take(0, notice('i', 9))
+    const named = registry.take(1, notice('i~1', 1))
+    assert.ok(withoutIncarnation !== undefined && named !== undefined)
+    assert.deepEqual(registry.otherLives(named), [withoutIncarnation])
   })
 })
--- a/packages/dispatch/src/lib/endpoints/EndpointBook.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointBook.ts
@@ -4,20 +4,24 @@
 import type { DispatchTiming } from '../DispatchOptions'
 import { EndpointRecord, machineOf } from './EndpointRecord'
 
-/** The known lives of one machine, of which one at most is there. */
+/** The known incarnations of one machine; at most one of them is running. */
 interface Machine {
-  readonly lives: Set<EndpointRecord>
-  /** The highest of its lives: what it was ordered under, it may refuse all that is lower. */
-  lifeNumber: number
+  readonly incarnations: Set<EndpointRecord>
+  /** Highest number among its incarnations; the machine may refuse orders with a lower number. */
+  incarnationNumber: number
 }
 
-/** The endpoints that announced themselves, each life by its name. @internal */
+/**
+ * The endpoints that announced themselves, one record per incarnation, by endpoint id.
+ *
+ * @internal
+ */
 export class EndpointBook {
   readonly #records = new Map<string, EndpointRecord>()
   readonly #machines = new Map<string, Machine>()
-  /** Lives that became known in this leader's term. */
-  #lives = 0
-  /** Those that have changed since they were last handed out. */
+  /** Number of incarnations discovered in the current leader's term. */
+  #incarnationCount = 0
+  /** Records that have changed since the last `drainChanged`. */
   readonly #changed = new Set<EndpointRecord>()
 
   constructor(
@@ -38,54 +42,62 @@
     return this.#records.values()
   }
 
-  /** The other lives of an endpoint's machine that are not forgotten. */
+  /** The other incarnations of an endpoint's machine that have not been removed. */
   otherLives(record: EndpointRecord): EndpointRecord[] {
-    const lives = this.#machines.get(record.machine)?.lives ?? []
-    return [...lives].filter((life) => life !== record)
+    const incarnations = this.#machines.get(record.machine)?.incarnations ?? []
+    return [...incarnations].filter((other) => other !== record)
   }
 
-  /** Takes a notice in; gives the record when the notice brought something new. */
+  /** Applies a notice; returns the record if the notice was accepted. */
   take(now: number, notice: EndpointNotice): EndpointRecord | undefined {
     const known = this.#records.get(notice.endpoint)
-    if (known !== undefined) return known.take(now, notice) ? known : undefined
-    if (notice.state === NoticeState.GONE || this.#isNameless(notice)) return undefined
+    if (known !== undefined) return known.applyNotice(now, notice) ? known : undefined
+    if (notice.state === NoticeState.GONE || this.#lacksIncarnation(notice)) return undefined
     return this.#add(now, notice)
   }
 
-  /** Whether nothing is started at an endpoint any more once its word that it leaves was taken. */
+  /**
+   * Whether no more tasks are started at an endpoint once its LEAVING or GONE notice is applied.
+   */
   heeds(notice: EndpointNotice): boolean {
     const known = this.#records.get(notice.endpoint)
-    if (known !== undefined) return known.heeds(notice)
-    return notice.state === NoticeState.GONE || !this.#isNameless(notice)
+    if (known !== undefined) return known.honorsLeaving(notice)
+    return notice.state === NoticeState.GONE || !this.#lacksIncarnation(notice)
   }
 
   /**
-   * The lives that a notice is about. A goodbye may name the machine alone: it is of those of its lives
-   * that have said that they leave. A later life may have begun before it arrives.
+   * The ids of the endpoints that a notice refers to. A GONE notice may name only the machine: it
+   * then refers to the incarnations that announced LEAVING, because a later incarnation may have
+   * started before the notice arrives.
    */
   namedBy(notice: EndpointNotice): string[] {
     const { endpoint, state } = notice
     const machine = this.#machines.get(machineOf(notice))
     const isNamed = state !== NoticeState.GONE || this.#records.has(endpoint)
     if (isNamed || machine === undefined) return [endpoint]
-    const leaving = [...machine.lives].filter((life) => life.notice.state === NoticeState.LEAVING)
+    const leaving = [...machine.incarnations].filter(
+      (record) => record.notice.state === NoticeState.LEAVING,
+    )
     return leaving.map(({ id }) => id)
   }
 
-  /** Another term begins: its token is higher than any of those before. */
+  /** Starts a new term: its fencing tokens are higher than those of all earlier terms. */
   beginTerm(): void {
-    this.#lives = 0
-    for (const machine of this.#machines.values()) machine.lifeNumber = 0
+    this.#incarnationCount = 0
+    for (const machine of this.#machines.values()) machine.incarnationNumber = 0
     for (const record of this.#records.values()) record.lifeNumber = 0
   }
 
-  /** An endpoint refused an order under the number of its life, since its machine has seen a higher one. */
-  raiseLifeNumber(record: EndpointRecord): void {
-    record.lifeNumber = this.#machines.get(record.machine)?.lifeNumber ?? record.lifeNumber
+  /**
+   * Raises the incarnation number of an endpoint that refused an order because its machine has seen
+   * a higher number.
+   */
+  raiseIncarnationNumber(record: EndpointRecord): void {
+    record.lifeNumber = this.#machines.get(record.machine)?.incarnationNumber ?? record.lifeNumber
   }
 
-  /** Whether a notice names no life, and its machine is known to name them. */
-  #isNameless(notice: EndpointNotice): boolean {
+  /** Whether a notice names no incarnation although its machine is known to name them. */
+  #lacksIncarnation(notice: EndpointNotice): boolean {
     const machine = machineOf(notice)
     return notice.endpoint === machine && this.#machines.has(machine)
   }
@@ -93,7 +105,7 @@
   #machineOf(record: EndpointRecord): Machine {
     const known = this.#machines.get(record.machine)
     if (known !== undefined) return known
-    const machine = { lives: new Set<EndpointRecord>(), lifeNumber: 0 }
+    const machine = { incarnations: new Set<EndpointRecord>(), incarnationNumber: 0 }
     this.#machines.set(record.machine, machine)
     return machine
   }
@@ -109,34 +121,37 @@
     this.#records.set(notice.endpoint, record)
     this.health.add(record.id, record.service)
     const machine = this.#machineOf(record)
-    for (const life of machine.lives) life.doubt(now)
-    record.lifeNumber = machine.lifeNumber = ++this.#lives
-    machine.lives.add(record)
+    for (const other of machine.incarnations) other.markPossiblyReplaced(now)
+    record.lifeNumber = machine.incarnationNumber = ++this.#incarnationCount
+    machine.incarnations.add(record)
     return record
   }
 
   remove(record: EndpointRecord): void {
     this.#records.delete(record.id)
-    const lives = this.#machines.get(record.machine)?.lives
-    lives?.delete(record)
-    if (lives?.size === 0) this.#machines.delete(record.machine)
+    const incarnations = this.#machines.get(record.machine)?.incarnations
+    incarnations?.delete(record)
+    if (incarnations?.size === 0) this.#machines.delete(record.machine)
     this.health.remove(record.id)
     this.slowness.remove(record.id)
     this.#changed.add(record)
   }
 
-  /** False once it was removed. */
+  /** False once the record has been removed. */
   has(record: EndpointRecord): boolean {
     return this.#records.get(record.id) === record
   }
 
-  /** Hands out the records that have changed, come or gone since the last call. */
+  /** Visits the records that were changed, added or removed since the last call. */
   drainChanged(visit: (record: EndpointRecord) => void): void {
     for (const record of this.#changed) visit(record)
     this.#changed.clear()
   }
 
-  /** True when nothing was heard of it for so long, or it said so, that it may be forgotten. */
+  /**
+   * Whether an endpoint without runs can be removed: it was replaced and its orders have expired,
+   * or it has been silent for `forgetEndpointMs`, or it announced GONE and no longer answers.
+   */
   isForgettable(now: number, record: EndpointRecord): boolean {
     if (record.runs.size > 0) return false
     if (record.isReplaced) return record.isOver(now)
@@ -145,7 +160,7 @@
     return silent || (record.notice.state === NoticeState.GONE && record.unanswered > 0)
   }
 
-  /** The notices as others are to get them, with their present ages. */
+  /** The notices to send to other instances, with their current ages. */
   notices(now: number): EndpointNotice[] {
     return [...this.#records.values()].map((record) => record.noticeAt(now))
   }
--- a/packages/dispatch/src/lib/endpoints/EndpointClock.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointClock.ts
@@ -1,12 +1,12 @@
 interface ClockSample {
   readonly endpointMs: number
-  /** Our time when the answer with it arrived. */
+  /** Local time when the answer with this sample arrived. */
   readonly receivedAt: number
 }
 
 /**
- * An endpoint's own clock, as seen from here. Its steady clock may be slow, and ours may stand
- * still while the machine is suspended, so every estimate errs on the safe side.
+ * Estimates an endpoint's monotonic clock from its answers. That clock may run slow, and the local
+ * one may stop while the machine is suspended, so every estimate errs on the safe side.
  *
  * @internal
  */
@@ -19,20 +19,20 @@
     return this.#sample !== undefined
   }
 
-  note(now: number, endpointMs: number): void {
+  addSample(now: number, endpointMs: number): void {
     const known = this.#sample
     if (known !== undefined && endpointMs < known.endpointMs) return
     this.#sample = { endpointMs, receivedAt: now }
   }
 
-  /** The endpoint's time at one of ours, as if both ran alike. */
+  /** The endpoint's time at a local time, assuming that both clocks run at the same rate. */
   at(time: number): number {
     const sample = this.#sample
     if (sample === undefined) return -Infinity
     return sample.endpointMs + (time - sample.receivedAt)
   }
 
-  /** True when the endpoint's clock surely shows at least this. */
+  /** True if the endpoint's clock is certain to have reached the given time, allowing for drift. */
   isPast(now: number, endpointMs: number): boolean {
     const sample = this.#sample
     if (sample === undefined) return false
--- a/packages/dispatch/src/lib/endpoints/EndpointRecord.test.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointRecord.test.ts
@@ -29,35 +29,35 @@
 
 const OPTIONS = { drift: 0, roundTrip: { minMs: 25, maxMs: 80 } }
 
-/** A record that took two notices of the endpoint itself. */
-function known(): EndpointRecord {
+/** Returns a record to which two notices of the endpoint itself were applied. */
+function makeConfirmedRecord(): EndpointRecord {
   const record = new EndpointRecord(notice(4), 0, OPTIONS)
-  assert.ok(record.take(1, notice(5)))
+  assert.ok(record.applyNotice(1, notice(5)))
   return record
 }
 
-describe('what is known of an endpoint', () => {
-  it('holds when an older notice comes late', () => {
-    const record = known()
-    assert.equal(record.take(2, notice(4, { state: NoticeState.LEAVING })), false)
+describe('the record of an endpoint', () => {
+  it('ignores an older notice that arrives late', () => {
+    const record = makeConfirmedRecord()
+    assert.equal(record.applyNotice(2, notice(4, { state: NoticeState.LEAVING })), false)
     assert.equal(record.notice.state, NoticeState.SERVING)
   })
 
-  it('holds when another writer names a sequence that the endpoint never counted to', () => {
-    const record = known()
-    assert.equal(record.take(2, notice(2 ** 52, { state: NoticeState.LEAVING })), false)
-    assert.ok(record.take(3, notice(6)))
+  it('ignores a sequence number of another writer that the endpoint never reached', () => {
+    const record = makeConfirmedRecord()
+    assert.equal(record.applyNotice(2, notice(2 ** 52, { state: NoticeState.LEAVING })), false)
+    assert.ok(record.applyNotice(3, notice(6)))
   })
 
-  it('is corrected by the endpoint when the first word of it was from another writer', () => {
+  it('is corrected by the endpoint when its first notice came from another writer', () => {
     const record = new EndpointRecord(notice(2 ** 52, { service: 'other' }), 0, OPTIONS)
-    assert.ok(record.take(1, notice(5)))
+    assert.ok(record.applyNotice(1, notice(5)))
     assert.equal(record.service, 'tracing')
-    assert.ok(record.take(2, notice(6, { state: NoticeState.LEAVING })))
+    assert.ok(record.applyNotice(2, notice(6, { state: NoticeState.LEAVING })))
   })
 
-  it('leaves no room for others in the place of a run that is being stopped', () => {
-    const record = known()
+  it('does not free the capacity of a run that is being stopped', () => {
+    const record = makeConfirmedRecord()
     const needs = makeEndpointCapacity(1_000, 10, 0)
     const run = {
       name: 't',
@@ -76,19 +76,19 @@
     ['address', { address: '10.0.0.8:80' }],
     ['zone', { zone: 'y' }],
   ] as const) {
-    it(`holds when another writer gives it another ${what}`, () => {
-      const record = known()
-      assert.equal(record.take(2, notice(6, more)), false)
-      assert.ok(record.take(3, notice(6)))
+    it(`ignores a notice of another writer that changes the ${what}`, () => {
+      const record = makeConfirmedRecord()
+      assert.equal(record.applyNotice(2, notice(6, more)), false)
+      assert.ok(record.applyNotice(3, notice(6)))
     })
   }
 
-  it('ends with a goodbye, and no later notice revives it', () => {
-    const record = known()
+  it('stays GONE after a GONE notice, whatever notices follow', () => {
+    const record = makeConfirmedRecord()
     const gone = notice(Number.MAX_SAFE_INTEGER, { state: NoticeState.GONE, service: '' })
-    assert.ok(record.take(2, gone))
-    assert.equal(record.take(3, notice(7)), false)
-    assert.equal(record.take(3, gone), false)
+    assert.ok(record.applyNotice(2, gone))
+    assert.equal(record.applyNotice(3, notice(7)), false)
+    assert.equal(record.applyNotice(3, gone), false)
     assert.equal(record.service, 'tracing')
   })
 })
--- a/packages/dispatch/src/lib/endpoints/EndpointRecord.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointRecord.ts
@@ -2,25 +2,29 @@
 import type { EndpointNotice } from '@cherryhitch/protocol'
 import type { Run } from '../runs/Run'
 import { EndpointClock } from './EndpointClock'
-import { RoundTrip } from './RoundTrip'
-import type { RoundTripBounds } from './RoundTrip'
+import { RoundTripEstimator } from './RoundTripEstimator'
+import type { TimeoutBounds } from './RoundTripEstimator'
 
-/** Measured slowness changes by some percent a second at most, in milliseconds. */
-const SLOWNESS_REUSE_MS = 200
+/**
+ * How long a slowness value is cached, in milliseconds: it changes by a few percent a second at
+ * most.
+ */
+const SLOWNESS_CACHE_MS = 200
 
 /**
- * Sequences count the heartbeats of one life, some a second. One that is this far off was not
- * counted by the endpoint; it would shut out all of its own for good.
+ * Largest plausible gap between two sequence numbers. They count the heartbeats of one incarnation,
+ * a few a second, so a larger gap was not produced by the endpoint. Accepting it would cause all
+ * later notices of the endpoint to be rejected as outdated.
  */
 const MAX_SEQUENCE_STEP = 1e10
 
-/** A question that is not answered yet. @internal */
-export interface OpenQuestion {
+/** A hold or poll that is not answered yet. @internal */
+export interface PendingPoll {
   readonly id: number
   readonly sentAt: number
 }
 
-/** What is left of a capacity. @internal */
+/** Unused part of a capacity. @internal */
 export interface FreeRoom {
   cpuMillis: number
   memoryMb: number
@@ -29,97 +33,108 @@
 
 /** @internal */
 export interface EndpointRecordOptions {
-  /** Most that its clock lags behind in one second of ours, as a share. */
+  /** Maximum rate at which its clock lags behind the local one, as a fraction. */
   readonly drift: number
-  readonly roundTrip: RoundTripBounds
-  /** Told of every change that may decide whether it gets tasks. */
+  readonly roundTrip: TimeoutBounds
+  /** Called on every change that may affect whether it is given tasks. */
   readonly onChange?: (record: EndpointRecord) => void
 }
 
-/** One life of an endpoint: what it said, what it was ordered, what runs there. @internal */
+/**
+ * State of one incarnation of an endpoint: its latest notice, its pending holds and polls, its
+ * lease and its runs.
+ *
+ * @internal
+ */
 export class EndpointRecord {
   readonly clock: EndpointClock
-  /** What its life has in common with the earlier and later ones. */
+  /** Id of the machine, shared by all of its incarnations. */
   readonly machine: string
   readonly #runs = new Map<string, Run>()
   readonly #onChange: (record: EndpointRecord) => void
-  #spreadAt: number
-  #isAdopted = false
-  /** Ends up to this number were taken in. */
+  #broadcastAt: number
+  #isSynced = false
+  /** Position of the last run end that was processed. */
   acknowledgedEnd = 0
-  /** Latest endpoint time until which anything may run there, by any order sent from here. */
+  /** Latest endpoint time until which anything may run there under an order from this instance. */
   leaseEndsAt = -Infinity
-  /** When its lists were first read under the present fencing token. */
-  adoptedAt = Infinity
-  /** Asks it to answer once a run ends. */
-  hold: OpenQuestion | undefined
+  /** When its first report under the current fencing token was read. */
+  syncedAt = Infinity
+  /** Pending long poll, which it answers as soon as a run ends. */
+  hold: PendingPoll | undefined
   nextHoldAt = 0
-  /** Asks it to answer at once. */
-  look: OpenQuestion | undefined
+  /** Pending poll, which it answers immediately. */
+  look: PendingPoll | undefined
   #unanswered = 0
-  /** Its clock in the newest of its reports. */
+  /** Endpoint time of its newest report. */
   reportedClockMs = -Infinity
-  /** How long it takes to answer what it answers at once. */
-  readonly roundTrip: RoundTrip
-  /** Number of this life in its leader's orders; the machine refuses orders under a lower one. */
+  /** Round-trip time of orders that it answers immediately. */
+  readonly roundTrip: RoundTripEstimator
+  /**
+   * Number of this incarnation in the leader's fencing tokens; the machine refuses orders with a
+   * lower one.
+   */
   lifeNumber = 0
-  /** When another life of its machine became known, until it answers a later question. */
-  #doubtedAt: number | undefined
-  /** Until when orders for it may take effect at the next life of its machine. */
-  #strayUntil = -Infinity
+  /**
+   * When another incarnation of its machine was discovered; cleared when this one answers a hold or
+   * poll sent after that.
+   */
+  #possiblyReplacedAt: number | undefined
+  /** Time until which orders for it may still take effect at the machine's next incarnation. */
+  #ordersExpireAt = -Infinity
   answeredAt = -Infinity
-  /** When a run last ended there in about the time that was expected. */
-  soundAt = -Infinity
-  /** When the first of the calls in a row without an answer was given up. */
-  silentAt = -Infinity
+  /** When a run there last ended in about its expected time. */
+  lastTimelyRunAt = -Infinity
+  /** When the first of the current consecutive unanswered calls was given up. */
+  silentSince = -Infinity
   #pausedUntil = -Infinity
   #isReplaced = false
   #notice: EndpointNotice
   #noticedAt: number
-  /** True once two notices agreed on where it is and whom it serves. */
-  #isPlaceSure = false
-  /** Kept until a run comes or goes: placing asks for it far more often. */
-  #freeRoom: FreeRoom | undefined
+  /** True once two notices agreed on its service, address and zone. */
+  #isIdentityConfirmed = false
+  /** Cached until the next change: placement reads it far more often. */
+  #freeCapacity: FreeRoom | undefined
   #slowness = { value: 1, readAt: -Infinity }
 
   constructor(notice: EndpointNotice, now: number, options: EndpointRecordOptions) {
     const { drift, roundTrip, onChange } = options
     this.#onChange = onChange ?? (() => undefined)
-    this.roundTrip = new RoundTrip(roundTrip)
+    this.roundTrip = new RoundTripEstimator(roundTrip)
     this.#notice = notice
     this.machine = machineOf(notice)
     this.#noticedAt = now - notice.ageMs
-    this.#spreadAt = now
+    this.#broadcastAt = now
     this.clock = new EndpointClock(drift)
   }
 
-  /** Runs by the name of their task: one at a time. */
+  /** Runs by task name; at most one for each task. */
   get runs(): ReadonlyMap<string, Run> {
     return this.#runs
   }
 
-  /** When all who may lead were last told of it. */
+  /** When it was last broadcast to all instances that may become leader. */
   get spreadAt(): number {
-    return this.#spreadAt
+    return this.#broadcastAt
   }
 
   set spreadAt(at: number) {
-    this.#spreadAt = at
+    this.#broadcastAt = at
     this.noteChange()
   }
 
-  /** True once its lists were read under the present fencing token. */
+  /** True once a report of it was read under the current fencing token. */
   get isAdopted(): boolean {
-    return this.#isAdopted
+    return this.#isSynced
   }
 
   set isAdopted(isAdopted: boolean) {
-    if (this.#isAdopted === isAdopted) return
-    this.#isAdopted = isAdopted
+    if (this.#isSynced === isAdopted) return
+    this.#isSynced = isAdopted
     this.noteChange()
   }
 
-  /** Calls in a row without an answer. */
+  /** Number of consecutive calls without an answer. */
   get unanswered(): number {
     return this.#unanswered
   }
@@ -130,7 +145,7 @@
     this.noteChange()
   }
 
-  /** Gets nothing before this, since it refused for want of room. */
+  /** Time until which no tasks are started there, after a rejected start. */
   get pausedUntil(): number {
     return this.#pausedUntil
   }
@@ -140,42 +155,47 @@
     this.noteChange()
   }
 
-  /** Another life answered at its address. */
+  /** True once another incarnation has taken its place. */
   get isReplaced(): boolean {
     return this.#isReplaced
   }
 
   /**
-   * Another life is in its place, for good.
+   * Marks it as permanently replaced by another incarnation.
    *
-   * @param strayUntil - when orders for it have no effect any more, wherever they arrive
+   * @param ordersExpireAt - time from which orders for it have no effect, wherever they arrive
    */
-  replace(strayUntil = -Infinity): void {
-    this.#strayUntil = this.#isReplaced ? Math.min(this.#strayUntil, strayUntil) : strayUntil
+  replace(ordersExpireAt = -Infinity): void {
+    this.#ordersExpireAt = this.#isReplaced
+      ? Math.min(this.#ordersExpireAt, ordersExpireAt)
+      : ordersExpireAt
     this.#isReplaced = true
     this.noteChange()
   }
 
-  /** Another life of its machine has become known: what is sent to this one may reach that one. */
-  doubt(now: number): void {
-    this.#doubtedAt = now
+  /**
+   * Another incarnation of its machine was discovered: orders for this one may reach that one
+   * instead.
+   */
+  markPossiblyReplaced(now: number): void {
+    this.#possiblyReplacedAt = now
     this.noteChange()
   }
 
-  get isDoubted(): boolean {
-    return this.#doubtedAt !== undefined
+  get isPossiblyReplaced(): boolean {
+    return this.#possiblyReplacedAt !== undefined
   }
 
-  /** It has answered a question that was sent at the given time. */
+  /** It answered a hold or poll that was sent at the given time. */
   noteAlive(sentAt: number): void {
-    if (this.#doubtedAt === undefined || sentAt < this.#doubtedAt) return
-    this.#doubtedAt = undefined
+    if (this.#possiblyReplacedAt === undefined || sentAt < this.#possiblyReplacedAt) return
+    this.#possiblyReplacedAt = undefined
     this.noteChange()
   }
 
-  /** True once nothing that was ordered here runs or can begin. */
+  /** True once it was replaced, and nothing that was ordered there still runs or can start. */
   isOver(now: number): boolean {
-    return this.#isReplaced && now >= this.#strayUntil
+    return this.#isReplaced && now >= this.#ordersExpireAt
   }
 
   addRun(run: Run): void {
@@ -188,21 +208,21 @@
     this.noteChange()
   }
 
-  /** What runs there, what it may get, or how well it does has changed. */
+  /** Its runs, its free capacity, its state or its performance has changed. */
   noteChange(): void {
-    this.#freeRoom = undefined
+    this.#freeCapacity = undefined
     this.#onChange(this)
   }
 
-  /** Whether a task runs there under which an endpoint was lost before. */
+  /** Whether a task runs there that is suspected of having crashed an endpoint. */
   get hasSuspect(): boolean {
     for (const { task } of this.#runs.values()) if (task?.isSuspect === true) return true
     return false
   }
 
-  /** Run times here over those at its peers, read anew every so often. */
+  /** Ratio of run times here to those at its peers, cached for `SLOWNESS_CACHE_MS`. */
   slowness(now: number, read: () => number): number {
-    if (now - this.#slowness.readAt >= SLOWNESS_REUSE_MS) {
+    if (now - this.#slowness.readAt >= SLOWNESS_CACHE_MS) {
       this.#slowness = { value: read(), readAt: now }
     }
     return this.#slowness.value
@@ -216,7 +236,7 @@
     return this.#notice
   }
 
-  /** The notice as others are to get it, with its present age. */
+  /** The notice to send to other instances, with its current age. */
   noticeAt(now: number): EndpointNotice {
     return { ...this.#notice, ageMs: Math.max(0, now - this.#noticedAt) }
   }
@@ -229,15 +249,18 @@
     return this.#noticedAt
   }
 
-  /** Takes a notice in, unless it is older than the last one or can't be of this life. */
-  take(now: number, notice: EndpointNotice): boolean {
+  /**
+   * Applies a notice, unless it is outdated or can't be of this incarnation; returns whether it
+   * did.
+   */
+  applyNotice(now: number, notice: EndpointNotice): boolean {
     if (!this.#accepts(notice)) return false
     const { state, sequence } = notice
     if (state === NoticeState.GONE) {
-      // A goodbye tells nothing but itself.
+      // The other fields of a GONE notice carry no information.
       this.#notice = { ...this.#notice, state, sequence }
     } else {
-      this.#isPlaceSure = this.#isSamePlace(notice)
+      this.#isIdentityConfirmed = this.#hasSameIdentity(notice)
       this.#notice = notice
     }
     this.#noticedAt = now - notice.ageMs
@@ -245,22 +268,22 @@
     return true
   }
 
-  /** Whether nothing is started here any more once a word that it leaves was taken. */
-  heeds(notice: EndpointNotice): boolean {
+  /** Whether no more tasks are started here once a LEAVING or GONE notice is applied. */
+  honorsLeaving(notice: EndpointNotice): boolean {
     return this.#accepts(notice) || this.#notice.state !== NoticeState.SERVING
   }
 
   #accepts(notice: EndpointNotice): boolean {
     if (this.#notice.state === NoticeState.GONE) return false
     if (notice.state === NoticeState.GONE) return true
-    if (!isLater(notice.sequence, this.#notice.sequence)) return false
-    return !this.#isPlaceSure || this.#isSamePlace(notice)
+    if (!isNewerSequence(notice.sequence, this.#notice.sequence)) return false
+    return !this.#isIdentityConfirmed || this.#hasSameIdentity(notice)
   }
 
-  /** Whether a notice says more than that the endpoint is still there. */
+  /** Whether a notice differs from the latest one in state, identity, labels or capacity. */
   isNews(notice: EndpointNotice): boolean {
     const known = this.#notice
-    if (notice.state !== known.state || !this.#isSamePlace(notice)) return true
+    if (notice.state !== known.state || !this.#hasSameIdentity(notice)) return true
     if (notice.labels.join(' ') !== known.labels.join(' ')) return true
     const { cpuMillis = 0, memoryMb = 0, gpus = 0 } = notice.capacity ?? {}
     const capacity = known.capacity
@@ -268,25 +291,25 @@
     return gpus !== capacity.gpus
   }
 
-  /** One life of an endpoint keeps its service, address and zone. */
-  #isSamePlace({ service, address, zone }: EndpointNotice): boolean {
+  /** Service, address and zone never change within one incarnation. */
+  #hasSameIdentity({ service, address, zone }: EndpointNotice): boolean {
     const known = this.#notice
     return service === known.service && address === known.address && zone === known.zone
   }
 
-  /** True while new tasks may be started there. */
+  /** Whether new tasks may be started there. */
   mayStart(now: number): boolean {
     if (this.#notice.state !== NoticeState.SERVING || this.isReplaced) return false
-    const isThere = this.isAdopted && this.unanswered === 0 && !this.isDoubted
-    return isThere && now >= this.pausedUntil
+    const isReachable = this.isAdopted && this.unanswered === 0 && !this.isPossiblyReplaced
+    return isReachable && now >= this.pausedUntil
   }
 
   freeRoom(): Readonly<FreeRoom> {
-    this.#freeRoom ??= this.#countFreeRoom()
-    return this.#freeRoom
+    this.#freeCapacity ??= this.#computeFreeCapacity()
+    return this.#freeCapacity
   }
 
-  #countFreeRoom(): FreeRoom {
+  #computeFreeCapacity(): FreeRoom {
     const { cpuMillis = 0, memoryMb = 0, gpus = 0 } = this.#notice.capacity ?? {}
     const free = { cpuMillis, memoryMb, gpus }
     for (const { needs } of this.#runs.values()) {
@@ -298,11 +321,11 @@
     return free
   }
 
-  /** Starts anew under another fencing token: what was known of its runs counts no more. */
+  /** Discards what is known of its runs, for a start under another fencing token. */
   reset(): void {
     this.#runs.clear()
-    this.#isAdopted = false
-    this.adoptedAt = Infinity
+    this.#isSynced = false
+    this.syncedAt = Infinity
     this.hold = undefined
     this.nextHoldAt = 0
     this.look = undefined
@@ -313,13 +336,17 @@
   }
 }
 
-/** The machine that a notice is of; one that names none is of a machine of its own. @internal */
+/**
+ * Returns the machine id of a notice; an endpoint that names no machine counts as one of its own.
+ *
+ * @internal
+ */
 export function machineOf({ machine, endpoint }: EndpointNotice): string {
   return machine === '' ? endpoint : machine
 }
 
-/** Whether a sequence is of a later notice than another. */
-function isLater(sequence: number, known: number): boolean {
+/** Whether a sequence number belongs to a later notice than the known one. */
+function isNewerSequence(sequence: number, known: number): boolean {
   const step = sequence - known
   return step > 0 ? step <= MAX_SEQUENCE_STEP : step < -MAX_SEQUENCE_STEP
 }
--- a/packages/dispatch/src/lib/endpoints/RoundTrip.ts
+++ b/packages/dispatch/src/lib/endpoints/RoundTripEstimator.ts
@@ -1,21 +1,21 @@
-/** Weight of a new sample in the mean and in the deviation: those of TCP (RFC 6298). */
+/** Weights of a new sample in the mean and in the deviation, as in TCP (RFC 6298). */
 const MEAN_WEIGHT = 1 / 8
 const DEVIATION_WEIGHT = 1 / 4
-/** Deviations above the mean after which an answer counts as lost: that of TCP as well. */
-const DEVIATIONS = 4
+/** Deviations above the mean after which an answer counts as lost, also as in TCP. */
+const TIMEOUT_DEVIATIONS = 4
 
-/** Between which an answer is waited for, in milliseconds. @internal */
-export interface RoundTripBounds {
+/** Lower and upper bound of the timeout, in milliseconds. @internal */
+export interface TimeoutBounds {
   readonly minMs: number
   readonly maxMs: number
 }
 
-/** How long an endpoint takes to answer orders that it answers at once. @internal */
-export class RoundTrip {
+/** Estimates the round-trip time of orders that an endpoint answers immediately. @internal */
+export class RoundTripEstimator {
   #meanMs: number | undefined
   #deviationMs = 0
 
-  constructor(private readonly bounds: RoundTripBounds) {}
+  constructor(private readonly bounds: TimeoutBounds) {}
 
   note(ms: number): void {
     if (this.#meanMs === undefined) {
@@ -28,11 +28,11 @@
     this.#meanMs += MEAN_WEIGHT * (ms - this.#meanMs)
   }
 
-  /** An answer that takes longer is taken for lost, in whole milliseconds. */
+  /** Time after which an answer counts as lost, in whole milliseconds. */
   get timeoutMs(): number {
     const { minMs, maxMs } = this.bounds
     if (this.#meanMs === undefined) return maxMs
-    const ms = this.#meanMs + DEVIATIONS * this.#deviationMs
+    const ms = this.#meanMs + TIMEOUT_DEVIATIONS * this.#deviationMs
     return Math.ceil(Math.min(maxMs, Math.max(minMs, ms)))
   }
 }
--- a/packages/dispatch/src/lib/endpoints/capacity.test.ts
+++ b/packages/dispatch/src/lib/endpoints/capacity.test.ts
@@ -5,10 +5,12 @@
 import type { SimulatedEndpoint } from '../soak/SimulatedEndpoint'
 
 const PLACES = 4
-/** A heartbeat and its way, in milliseconds. */
+/** Heartbeat interval plus network latency, in milliseconds. */
 const NOTICED_MS = 1_600
 
-/** Endpoints that start whatever they are told, under more jobs than they have places. */
+/**
+ * Endpoints that do not enforce their capacity, loaded with more jobs than they have places for.
+ */
 function openWorld(seed: number) {
   const world = new DispatchWorld({
     leaders: 2,
@@ -31,7 +33,7 @@
   return { world, load }
 }
 
-/** Most runs that an endpoint has at a start from now on. */
+/** Tracks the maximum number of runs at an endpoint, measured at each start from now on. */
 function watchStarts(endpoint: SimulatedEndpoint): { most: number } {
   const seen = { most: 0 }
   const { onStart } = endpoint
@@ -44,7 +46,7 @@
 
 describe('an endpoint whose capacity changes while it runs', () => {
   for (let seed = 1; seed <= 10; seed++) {
-    it(`is never brought over what it says, though it does not guard it, seed ${seed}`, () => {
+    it(`is never loaded beyond the capacity it announces but does not enforce, seed ${seed}`, () => {
       const { world, load } = openWorld(seed)
       const [endpoint] = world.endpoints
       assert.ok(endpoint !== undefined)
@@ -63,7 +65,7 @@
     })
   }
 
-  it('keeps its room over a new leader', () => {
+  it('keeps its capacity across a change of leader', () => {
     const { world, load } = openWorld(11)
     const [endpoint] = world.endpoints
     assert.ok(endpoint !== undefined)
--- a/packages/dispatch/src/lib/endpoints/fencingToken.ts
+++ b/packages/dispatch/src/lib/endpoints/fencingToken.ts
@@ -1,18 +1,21 @@
-/** Lives of endpoints that a leader can tell apart within its term; beyond, they share the highest number. */
-const LIVES_PER_TERM = 2 ** 20
+/**
+ * Incarnations that a leader can distinguish in a term; any further ones share the highest number.
+ */
+const INCARNATIONS_PER_TERM = 2 ** 20
 
 /**
- * The token of an order. A later term is higher than all of an earlier one, and within a term a later
- * life of a machine than those before it.
+ * Returns the fencing token of an order. Tokens of a later term are higher than all tokens of
+ * earlier terms; within a term, a later incarnation of a machine has a higher token than the
+ * earlier ones.
  *
- * @param life - number of the life, as the leader counts them
+ * @param incarnation - number of the incarnation, as counted by the leader
  * @internal
  */
-export function makeFencingToken(term: number, life: number): number {
-  return term * LIVES_PER_TERM + Math.min(life, LIVES_PER_TERM - 1)
+export function makeFencingToken(term: number, incarnation: number): number {
+  return term * INCARNATIONS_PER_TERM + Math.min(incarnation, INCARNATIONS_PER_TERM - 1)
 }
 
-/** The term in which an order was given. @internal */
+/** Returns the term in which an order was issued. @internal */
 export function termOfToken(token: number): number {
-  return Math.floor(token / LIVES_PER_TERM)
+  return Math.floor(token / INCARNATIONS_PER_TERM)
 }
--- a/packages/dispatch/src/lib/endpoints/idleEndpoints.test.ts
+++ b/packages/dispatch/src/lib/endpoints/idleEndpoints.test.ts
@@ -10,13 +10,13 @@
 
 const ENDPOINTS = 100
 const TICK_MS = 10
-/** Answers come back after a time of their own for each endpoint. */
-const WAY_MS = 3
+/** Minimum latency of an answer, in milliseconds; each endpoint adds an offset of its own. */
+const LATENCY_MS = 3
 
-/** A leader whose endpoints run nothing, and answer each question at the end of its wait. */
+/** A leader whose endpoints run nothing, and answer each hold at the end of its wait. */
 class IdleLeader {
   readonly machine = new DispatchMachine({})
-  /** Times at which orders were sent, and how many. */
+  /** Send time of each order. */
   readonly sent: number[] = []
   private readonly due: { at: number; send: SendOrder }[] = []
 
@@ -57,26 +57,26 @@
       const { order } = action.order
       assert.ok(order.case === 'hold')
       const number = Number(action.order.endpoint.slice(1))
-      this.due.push({ at: now + order.value.waitMs + WAY_MS + (number % 20), send: action })
+      this.due.push({ at: now + order.value.waitMs + LATENCY_MS + (number % 20), send: action })
     }
   }
 }
 
-describe('endpoints where nothing runs', () => {
+describe('idle endpoints', () => {
   const leader = new IdleLeader()
   leader.run(0, 3_000)
   const from = leader.sent.length
   leader.run(3_000, 8_000)
   const sent = leader.sent.slice(from)
 
-  it('are asked twice a second at most, still well within a lease', () => {
+  it('are polled at most twice a second, well within a lease', () => {
     const perSecond = sent.length / 5 / ENDPOINTS
     assert.ok(perSecond <= 2, `${perSecond} a second`)
     const { idleHoldWaitMs, answerSlackMs, leaseMs } = defaultDispatchTiming
     assert.ok(idleHoldWaitMs + answerSlackMs < leaseMs)
   })
 
-  it('are asked together, so that few messages carry all questions', () => {
+  it('are polled in batches, so that few messages carry all holds', () => {
     const times = new Set(sent).size / 5
     assert.ok(times <= 35, `at ${times} times a second`)
   })
--- a/packages/dispatch/src/lib/endpoints/silentEndpoint.test.ts
+++ b/packages/dispatch/src/lib/endpoints/silentEndpoint.test.ts
@@ -4,11 +4,11 @@
 import { DispatchWorld } from '../soak/DispatchWorld'
 
 const RUN_MS = 200
-/** The lease of 900 ms, the pace of its renewal, and what the endpoint's clock may be slow. */
-const LEASE_OVER_MS = 1_000
+/** The lease of 900 ms plus its renewal interval and the allowance for a slow endpoint clock. */
+const LEASE_EXPIRED_MS = 1_000
 
-describe('a run on an endpoint that falls silent', () => {
-  it('begins anew elsewhere once the lease has run out, though the endpoint is asked on and on', () => {
+describe('a run on an endpoint that stops answering', () => {
+  it('is restarted elsewhere once the lease has expired, despite continued polling', () => {
     const world = new DispatchWorld({
       leaders: 1,
       endpoints: 2,
@@ -26,6 +26,6 @@
     assert.deepEqual(world.violations, [])
     assert.equal(world.outcomes.get('a')?.verdict, JobVerdict.COMPLETED)
     const ms = (world.answeredAt.get('a') ?? Infinity) - sentAt
-    assert.ok(ms < LEASE_OVER_MS + 2 * RUN_MS, `answered after ${ms} ms`)
+    assert.ok(ms < LEASE_EXPIRED_MS + 2 * RUN_MS, `answered after ${ms} ms`)
   })
 })
--- a/packages/dispatch/src/lib/runs/OverrunWatch.ts
+++ b/packages/dispatch/src/lib/runs/OverrunWatch.ts
@@ -7,15 +7,15 @@
 import type { RunHealth } from './RunHealth'
 import type { RunTracker } from './RunTracker'
 
-/** A run that has begun, and has a job. */
-interface BegunRun extends Run {
+/** A run that was confirmed by its endpoint, was not ordered to stop and belongs to a known job. */
+interface ConfirmedRun extends Run {
   readonly task: Task
   readonly confirmedAt: number
 }
 
 /**
- * Looks after runs that take far longer than estimated: stops those that seem to hang, and learns from
- * the others, since each of them takes at least so long.
+ * Handles runs that take far longer than estimated: stops those that appear to hang, and lets the
+ * others continue. Each of them raises the estimate, since its task takes at least that long.
  *
  * @internal
  */
@@ -29,19 +29,19 @@
   tick(now: number, jobs: Iterable<Job>): void {
     for (const job of jobs) {
       for (const { run } of job.tasks) {
-        if (isBegun(run) && isOver(now, run)) this.#judge(now, job, run)
+        if (isConfirmed(run) && isOverrun(now, run)) this.#handleOverrun(now, job, run)
       }
     }
   }
 
-  #judge(now: number, job: Job, run: BegunRun): void {
+  #handleOverrun(now: number, job: Job, run: ConfirmedRun): void {
     const { task, endpoint, confirmedAt, expectedMs } = run
     const otherEndpoints = this.#otherEndpoints(now, job, run)
     const ms = now - confirmedAt
     const ownMs = ms / this.core.slownessOf(now, endpoint)
     const evidence = {
       otherEndpoints,
-      isEndpointSound: endpoint.soundAt > confirmedAt,
+      isEndpointSound: endpoint.lastTimelyRunAt > confirmedAt,
       freshMs: ownMs,
       leftMs: job.deadlineAt - now,
     }
@@ -50,7 +50,7 @@
     this.core.estimator.observeAtLeast(now, estimateSubject(job.route, estimateMs), ownMs)
     job.raiseEstimate(task, ownMs)
     job.mishaps.overruns++
-    this.core.log('a run takes far longer than estimated', {
+    this.core.log('run takes far longer than estimated', {
       job: job.id,
       task: run.name,
       run: run.number,
@@ -61,27 +61,30 @@
       ...evidence,
     })
     if (verdict === OverrunVerdict.Stop) this.#stop(now, run)
-    else this.#goOn(run, ms)
+    else this.#extend(run, ms)
   }
 
-  #stop(now: number, run: BegunRun): void {
+  #stop(now: number, run: ConfirmedRun): void {
     this.core.counters.overruns_stopped++
     run.task.overrunAt.add(run.endpoint.id)
     this.health.noteFailure(now, run, HealthFailure.Lost)
     this.runs.stop(now, run, 'it takes too long')
   }
 
-  #goOn(run: BegunRun, ms: number): void {
+  #extend(run: ConfirmedRun, ms: number): void {
     this.core.counters.overruns_kept++
     run.expectedMs = ms
     run.endpoint.noteChange()
   }
 
-  /** Other endpoints where this task was stopped for it, or where others of its step are as far over. */
-  #otherEndpoints(now: number, job: Job, { task, endpoint, expectedMs }: BegunRun): number {
+  /**
+   * Counts the other endpoints where this task was stopped for an overrun, or where tasks of the
+   * same step overrun as well.
+   */
+  #otherEndpoints(now: number, job: Job, { task, endpoint, expectedMs }: ConfirmedRun): number {
     const others = new Set(task.overrunAt)
     for (const { step, run } of job.tasks) {
-      const isAlike = step === task.step && isBegun(run)
+      const isAlike = step === task.step && isConfirmed(run)
       if (isAlike && now - run.sentAt >= overrunAfter(expectedMs)) others.add(run.endpoint.id)
     }
     others.delete(endpoint.id)
@@ -89,10 +92,10 @@
   }
 }
 
-function isBegun(run: Run | undefined): run is BegunRun {
+function isConfirmed(run: Run | undefined): run is ConfirmedRun {
   return run?.task !== undefined && run.confirmedAt !== undefined && run.stopReason === ''
 }
 
-function isOver(now: number, { sentAt, expectedMs }: Run): boolean {
+function isOverrun(now: number, { sentAt, expectedMs }: Run): boolean {
   return now - sentAt >= overrunAfter(expectedMs)
 }
--- a/packages/dispatch/src/lib/runs/Run.ts
+++ b/packages/dispatch/src/lib/runs/Run.ts
@@ -2,53 +2,53 @@
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import type { Task } from '../jobs/Job'
 
-/** How far a run is, as known here. @internal */
+/** Last known state of a run. @internal */
 export enum RunState {
-  /** Ordered; the endpoint has not answered yet. */
+  /** The order to start was sent; the endpoint has not answered yet. */
   Starting = 'starting',
   Running = 'running',
-  /** Ordered to stop; it may run until its end is listed. */
+  /** The order to stop was sent; it may still run until the endpoint reports its end. */
   Stopping = 'stopping',
 }
 
-/** Why a run is over. @internal */
+/** Why a run ended. @internal */
 export enum RunEnd {
   Done = 'done',
   Failed = 'failed',
-  /** Stopped by an order, or by another member's end. */
+  /** Stopped by an order, or because another member of its group ended. */
   Stopped = 'stopped',
-  /** Its endpoint's lease ran out, or the endpoint is gone. */
+  /** Its endpoint's lease expired, or the endpoint is lost. */
   Lost = 'lost',
-  /** It truly never began. */
+  /** It certainly never started. */
   NotRun = 'not_run',
 }
 
 /** One start of a task on an endpoint. @internal */
 export interface Run {
-  /** Undefined for one found running whose job is not known here. */
+  /** Undefined for an orphan: a run found at an endpoint whose job is not known here. */
   task: Task | undefined
   readonly name: string
   readonly number: number
   readonly endpoint: EndpointRecord
-  /** Undefined while unknown: then nothing else fits beside it. */
+  /** Undefined while unknown: the endpoint then counts as having no free capacity. */
   needs: EndpointCapacity | undefined
   state: RunState
-  /** When it was first ordered. */
+  /** When the order to start was first sent. */
   readonly sentAt: number
-  /** Orders to start that were sent for it. */
+  /** Number of times the order to start was sent. */
   startOrders: number
-  /** Endpoint's time until which the order to start is valid. */
+  /** Endpoint time until which the order to start is valid. */
   readonly orderEndsAt: number
-  /** When the endpoint said that it runs. */
+  /** When the endpoint first confirmed that it runs. */
   confirmedAt: number | undefined
-  /** Estimated length on this endpoint, in milliseconds; 0 while its job is not known. */
+  /** Estimated run time on this endpoint, in milliseconds; 0 while its job is not known. */
   expectedMs: number
   /** When the endpoint confirmed the order to stop. */
   stopConfirmedAt: number | undefined
-  /** When to order the stop again. */
+  /** When to send the order to stop again. */
   stopDueAt: number
-  /** When to ask its endpoint what became of it. */
-  lookDueAt: number
-  /** Why it is stopped, for the log. */
+  /** When to poll its endpoint for its state. */
+  pollDueAt: number
+  /** Why it was ordered to stop; empty if it was not. */
   stopReason: string
 }
--- a/packages/dispatch/src/lib/runs/RunHealth.ts
+++ b/packages/dispatch/src/lib/runs/RunHealth.ts
@@ -4,10 +4,14 @@
 import { RunEnd } from './Run'
 import type { Run } from './Run'
 
-/** A sound endpoint takes no longer than this many times the estimate, but for few tasks. */
-const SOUND_FACTOR = 2
+/** On a healthy endpoint, few tasks take longer than this many times their estimate. */
+const TIMELY_FACTOR = 2
 
-/** Learns from ended runs: how long tasks take, and how endpoints do. @internal */
+/**
+ * Feeds the outcomes of runs to the run-time estimates and to the health of endpoints.
+ *
+ * @internal
+ */
 export class RunHealth {
   constructor(private readonly core: DispatchCore) {}
 
@@ -44,9 +48,9 @@
     const { job } = task
     const { service } = job.route
     const runMs = now - (confirmedAt ?? sentAt)
-    if (runMs <= SOUND_FACTOR * expectedMs) endpoint.soundAt = now
+    if (runMs <= TIMELY_FACTOR * expectedMs) endpoint.lastTimelyRunAt = now
     health.recordSuccess(now, { endpoint: endpoint.id, service, jobId: job.id }, runMs)
-    // How long it took tells nothing when it was told to stop meanwhile.
+    // The run time of a run that was ordered to stop says nothing about its task or endpoint.
     if (stopReason !== '') return
     const estimateMs = job.runMs(task)
     const factor = slowness.slowness(now, endpoint.id)
--- a/packages/dispatch/src/lib/runs/RunOrders.ts
+++ b/packages/dispatch/src/lib/runs/RunOrders.ts
@@ -3,14 +3,17 @@
 import type { Task } from '../jobs/Job'
 import type { Run } from './Run'
 
-/** How often an order to stop is repeated until the end is listed, in milliseconds. */
+/**
+ * Interval at which an order to stop is repeated until the endpoint reports the end, in
+ * milliseconds.
+ */
 const STOP_REPEAT_MS = 100
 
-/** Orders endpoints to start and to stop runs. @internal */
+/** Sends the orders to start and to stop runs. @internal */
 export class RunOrders {
   constructor(private readonly core: DispatchCore) {}
 
-  /** Orders a run to start, the first time or once more. */
+  /** Sends the order to start a run, for the first time or again. */
   start(now: number, run: Run, { job }: Task): void {
     run.startOrders++
     const { endpoint, name: task, number, orderEndsAt } = run
@@ -20,7 +23,7 @@
     this.core.order(now, endpoint, { timeoutMs, order: { case: 'start', value } })
   }
 
-  /** Orders a run to stop, and notes when to do so again if its end is not listed by then. */
+  /** Sends the order to stop a run, and schedules the next one in case its end is not reported. */
   stop(now: number, run: Run): void {
     const { term, counters } = this.core
     if (term === undefined) return
--- a/packages/dispatch/src/lib/runs/RunTracker.ts
+++ b/packages/dispatch/src/lib/runs/RunTracker.ts
@@ -7,42 +7,43 @@
 import type { LeaseLoop } from '../endpoints/LeaseLoop'
 import { TaskState } from '../jobs/Job'
 import type { Task } from '../jobs/Job'
-import { foundRun } from './foundRun'
-import { firstLookAt, lookAgainAt } from './lookTimes'
+import { createOrphanRun } from './createOrphanRun'
+import { firstPollAt, nextPollAt } from './lookTimes'
 import { RunEnd, RunState } from './Run'
 import type { Run } from './Run'
 import { runEndOf } from './runEndOf'
 import { RunOrders } from './RunOrders'
 
-/** Told of each run that is over, and of runs that nobody here knows. @internal */
+/** Notified of the end of runs, of lost endpoints, and of runs of earlier leaders. @internal */
 export interface RunListener {
-  /** The runs at an endpoint are given up together, since nothing is heard of it. */
+  /** An endpoint is lost; all of its runs are about to end as lost. */
   onEndpointLost(now: number, endpoint: EndpointRecord): void
-  /** An endpoint where nothing runs is gone. */
+  /** An endpoint without runs is lost. */
   onIdleEndpointLost(now: number, endpoint: EndpointRecord): void
   onRunOver(now: number, run: Run, end: RunEnd): void
-  /** A run of an earlier leader was found; its job may be known here already. */
+  /** A run of an earlier leader was found; its job may already be known here. */
   onForeignRun(now: number, run: Run): void
-  /** A run of an earlier leader ended as done. */
+  /** A run of an earlier leader completed its task. */
   onForeignDone(now: number, name: string): void
 }
 
-/** An order to stop that got no answer is repeated after this, in milliseconds. */
+/** Time after which an unanswered order to stop is repeated, in milliseconds. */
 const STOP_RETRY_MS = 20
 /**
- * An order to start is sent so many times at the most. The endpoint answers a repeated one as the
- * first, so that it does no harm; with one order in five lost, one start in 125 stays in doubt.
+ * Maximum number of times an order to start is sent. The endpoint answers a repeated order like the
+ * first one, so repeating it is safe. With one order in five lost, the outcome of one start in 125
+ * stays unknown.
  */
 const MAX_START_ORDERS = 3
 
 /**
- * Starts and stops runs, and finds out what became of them. The endpoint's own lists decide: an
- * order without an answer is in doubt until they, or the end of its validity, tell.
+ * Starts and stops runs, and tracks their state. The reports of the endpoint are authoritative: the
+ * outcome of an unanswered order is unknown until a report shows it, or until the order expires.
  *
  * @internal
  */
 export class RunTracker {
-  /** Runs found at take-over whose job is not known, by task. */
+  /** Runs found when this instance became leader whose job is not known, by task. */
   readonly #orphans = new Map<string, Run>()
   readonly #orders: RunOrders
 
@@ -58,7 +59,7 @@
     this.#orphans.clear()
   }
 
-  /** Orders a task to start; false when no order can be given now. */
+  /** Orders a task to start; returns false if no order can be sent now. */
   start(now: number, task: Task, endpoint: EndpointRecord, expectedMs: number): boolean {
     const { term, timing, counters } = this.core
     const orderEndsAt = this.leases.orderEnd(now, endpoint, timing.startOrderMs)
@@ -79,7 +80,7 @@
       expectedMs,
       stopConfirmedAt: undefined,
       stopDueAt: Infinity,
-      lookDueAt: Infinity,
+      pollDueAt: Infinity,
       stopReason: '',
     }
     task.run = run
@@ -91,7 +92,9 @@
     return true
   }
 
-  /** Orders a run to stop, once; repeated until its end is listed. */
+  /**
+   * Orders a run to stop, unless it was already; the order is repeated until its end is reported.
+   */
   stop(now: number, run: Run, reason: string): void {
     if (run.state === RunState.Stopping) return
     run.state = RunState.Stopping
@@ -109,13 +112,13 @@
     })
     switch (result) {
       case StartResult.RUNS:
-        this.#noteBegun(now, run)
+        this.#confirmStart(now, run)
         return
       case StartResult.UNKNOWN:
         counters.starts_unanswered++
         if (run.task !== undefined) run.task.job.mishaps.unansweredStarts++
-        this.leases.noteSilence(now, run.endpoint)
-        this.#onStartLost(now, run)
+        this.leases.noteUnanswered(now, run.endpoint)
+        this.#onStartUnanswered(now, run)
         return
       default:
         counters.starts_rejected++
@@ -129,25 +132,25 @@
       return
     }
     run.stopConfirmedAt ??= now
-    // One that never began has no end that the endpoint would tell of.
-    if (run.confirmedAt === undefined) run.lookDueAt = now
+    // For a run that never started, the endpoint reports no end: poll for a report without it.
+    if (run.confirmedAt === undefined) run.pollDueAt = now
   }
 
-  /** Takes in what an endpoint lists; the hold for it was sent at the given time. */
+  /** Processes an endpoint's report; `sentAt` is when the hold or poll for it was sent. */
   onReport(now: number, endpoint: EndpointRecord, sentAt: number, report: HoldReport): void {
-    // Its lists were never read, and another life is there now: what this answer shows is over.
+    // Another incarnation replaced it before any report of it was read: this one is outdated.
     if (endpoint.isReplaced && !endpoint.isAdopted) return
-    // Answers may overtake each other: an older list shows what has ended as running.
+    // Answers may arrive out of order: an older report lists runs that have ended since.
     if (report.clockMs < endpoint.reportedClockMs) return
     const isNewer = report.clockMs > endpoint.reportedClockMs
     endpoint.reportedClockMs = report.clockMs
     const isFirst = !endpoint.isAdopted
     endpoint.isAdopted = true
-    if (isFirst) endpoint.adoptedAt = now
-    // An earlier leader may have renewed the lease until just now; from now on it can't.
+    if (isFirst) endpoint.syncedAt = now
+    // An earlier leader may have renewed the lease until this report; from now on it can't.
     const grantedUntil = isFirst ? report.clockMs + this.core.timing.maxGrantMs : -Infinity
     endpoint.leaseEndsAt = Math.max(endpoint.leaseEndsAt, grantedUntil)
-    if (isFirst) this.#endEarlierLives(now, endpoint)
+    if (isFirst) this.#retireEarlierIncarnations(now, endpoint)
     for (const ended of report.ended) this.#onListedEnd(now, endpoint, ended, isFirst)
     const listed = new Set<string>()
     for (const running of report.running) {
@@ -164,26 +167,29 @@
   }
 
   /**
-   * A life that answers is the present one of its machine. Orders for those before it may have reached it;
-   * the first of its own has a higher token than all of them, so that its lists show what they did.
+   * Marks the other incarnations of a machine as replaced: the one that answers is the current one.
+   * Orders for the others may have reached it. Its own first order has a higher fencing token than
+   * all of them, so its report shows their effects.
    */
-  #endEarlierLives(now: number, endpoint: EndpointRecord): void {
+  #retireEarlierIncarnations(now: number, endpoint: EndpointRecord): void {
     for (const earlier of this.core.endpoints.otherLives(endpoint)) {
-      if (!earlier.isReplaced) this.leases.noteSilence(now, earlier)
+      if (!earlier.isReplaced) this.leases.noteUnanswered(now, earlier)
       earlier.replace()
       const { id, runs } = earlier
       const fields = { endpoint: endpoint.id, earlier: id, runs: runs.size }
-      this.core.log('an endpoint has started again', fields)
-      if (runs.size > 0) this.#loseAll(now, earlier)
+      this.core.log('endpoint process was restarted', fields)
+      if (runs.size > 0) this.#markAllLost(now, earlier)
     }
   }
 
-  #loseAll(now: number, endpoint: EndpointRecord): void {
+  #markAllLost(now: number, endpoint: EndpointRecord): void {
     this.listener.onEndpointLost(now, endpoint)
     for (const run of [...endpoint.runs.values()]) this.#finish(now, run, RunEnd.Lost)
   }
 
-  /** A run of an earlier leader goes on for the job that was submitted again. */
+  /**
+   * Assigns the run of an earlier leader to the task of a resubmitted job; false if there is none.
+   */
   adopt(now: number, task: Task): boolean {
     const run = this.#orphans.get(task.name)
     if (run === undefined) return false
@@ -192,7 +198,7 @@
     run.needs = task.job.step(task).needs
     run.expectedMs = task.job.runMs(task) * this.core.slownessOf(now, run.endpoint)
     run.endpoint.noteChange()
-    run.lookDueAt = firstLookAt(now, run, this.core.silenceAt)
+    run.pollDueAt = firstPollAt(now, run, this.core.silenceAt)
     task.run = run
     task.lastRun = Math.max(task.lastRun, run.number)
     task.job.move(task, TaskState.Placed)
@@ -210,24 +216,27 @@
 
   #tickEndpoint(now: number, endpoint: EndpointRecord): void {
     if (endpoint.runs.size === 0) {
-      if (isSurelySilent(endpoint)) this.listener.onIdleEndpointLost(now, endpoint)
+      if (isUnresponsive(endpoint)) this.listener.onIdleEndpointLost(now, endpoint)
       return
     }
     const isLost = endpoint.isReplaced || endpoint.unanswered > 0
     if (isLost && this.leases.hasLapsed(now, endpoint)) {
-      this.#loseAll(now, endpoint)
+      this.#markAllLost(now, endpoint)
       return
     }
     for (const run of endpoint.runs.values()) {
       if (now >= run.stopDueAt) this.#orders.stop(now, run)
-      if (now < run.lookDueAt || !this.core.uses(Mechanism.Looks)) continue
-      run.lookDueAt = lookAgainAt(now, run)
+      if (now < run.pollDueAt || !this.core.uses(Mechanism.Looks)) continue
+      run.pollDueAt = nextPollAt(now, run)
       this.leases.look(now, endpoint)
     }
   }
 
-  /** An order to start got no answer: it is sent again, unless the lists have shown the run. */
-  #onStartLost(now: number, run: Run): void {
+  /**
+   * An order to start was not answered: it is sent again while it is valid, unless a report has
+   * shown the run.
+   */
+  #onStartUnanswered(now: number, run: Run): void {
     if (run.state !== RunState.Starting) return
     const isValid = run.endpoint.clock.at(now) < run.orderEndsAt
     const mayRepeat = this.core.uses(Mechanism.RepeatedStarts) && run.startOrders < MAX_START_ORDERS
@@ -239,23 +248,23 @@
     this.#orders.start(now, run, run.task)
   }
 
-  /** What a rejection tells is sure only if the order was the first: an earlier one may have run. */
+  /** A rejection proves that nothing started only for the first order: an earlier one may have. */
   #onStartRejected(now: number, run: Run, result: StartResult): void {
     this.#noteRejection(now, run, result)
     if (run.startOrders === 1) this.#finish(now, run, RunEnd.NotRun)
-    // It has begun and ended already: the end is listed.
-    else if (result === StartResult.OLD_RUN) this.#noteBegun(now, run)
+    // It has already started and ended: the next report shows the end.
+    else if (result === StartResult.OLD_RUN) this.#confirmStart(now, run)
     else this.stop(now, run, 'it is not known whether it started')
   }
 
-  #noteBegun(now: number, run: Run): void {
+  #confirmStart(now: number, run: Run): void {
     if (run.confirmedAt === undefined) {
       run.confirmedAt = now
       run.endpoint.noteChange()
     }
     if (run.state !== RunState.Starting) return
     run.state = RunState.Running
-    run.lookDueAt = firstLookAt(now, run, this.core.silenceAt)
+    run.pollDueAt = firstPollAt(now, run, this.core.silenceAt)
   }
 
   #onListedEnd(
@@ -274,11 +283,11 @@
   #onListedRun(now: number, endpoint: EndpointRecord, listed: ListedRun, isFirst: boolean): void {
     const run = endpoint.runs.get(listed.task)
     if (run?.number === listed.run) {
-      if (run.state === RunState.Starting) this.#noteBegun(now, run)
+      if (run.state === RunState.Starting) this.#confirmStart(now, run)
       return
     }
     if (run !== undefined) return
-    const orphan = foundRun(now, endpoint, listed)
+    const orphan = createOrphanRun(now, endpoint, listed)
     endpoint.addRun(orphan)
     if (!isFirst) {
       this.stop(now, orphan, 'it is not expected there')
@@ -288,12 +297,12 @@
     this.listener.onForeignRun(now, orphan)
   }
 
-  /** Why a run is over that its endpoint doesn't list; undefined while that is open. */
+  /** How a run ended that its endpoint no longer reports; undefined while that is unknown. */
   #unlistedEnd(run: Run, sentAt: number, clockMs: number): RunEnd | undefined {
     if (run.confirmedAt !== undefined) {
       return run.confirmedAt < sentAt ? RunEnd.Lost : undefined
     }
-    // It never began: the order is no longer valid, or the endpoint was told to refuse it.
+    // It never started: the order has expired, or the endpoint was told to refuse it.
     if (clockMs > run.orderEndsAt) return RunEnd.NotRun
     const isStopped = run.stopConfirmedAt !== undefined && run.stopConfirmedAt < sentAt
     return isStopped ? RunEnd.NotRun : undefined
@@ -307,7 +316,7 @@
       endpoint.pausedUntil = now + this.core.timing.retryHoldMs
     }
     if (result === StartResult.MALFORMED) task?.avoid.add(endpoint.id)
-    this.core.log('a start was rejected', {
+    this.core.log('endpoint rejected the start of a run', {
       job: task?.job.id ?? '',
       task: name,
       run: number,
@@ -326,7 +335,7 @@
   }
 }
 
-/** Whether more than one answer of an endpoint is missing. */
-function isSurelySilent({ isAdopted, isReplaced, unanswered }: EndpointRecord): boolean {
+/** Whether a synced endpoint was replaced or left more than one call unanswered. */
+function isUnresponsive({ isAdopted, isReplaced, unanswered }: EndpointRecord): boolean {
   return isAdopted && (isReplaced || unanswered > 1)
 }
--- a/packages/dispatch/src/lib/runs/foundRun.ts
+++ b/packages/dispatch/src/lib/runs/createOrphanRun.ts
@@ -3,8 +3,17 @@
 import { RunState } from './Run'
 import type { Run } from './Run'
 
-/** A run that an endpoint lists and that this leader didn't start; its job may become known later. @internal */
-export function foundRun(now: number, endpoint: EndpointRecord, { task, run }: ListedRun): Run {
+/**
+ * Creates the record of a run that an endpoint reports and that this leader didn't start. Its job
+ * may become known later.
+ *
+ * @internal
+ */
+export function createOrphanRun(
+  now: number,
+  endpoint: EndpointRecord,
+  { task, run }: ListedRun,
+): Run {
   return {
     task: undefined,
     name: task,
@@ -19,7 +28,7 @@
     expectedMs: 0,
     stopConfirmedAt: undefined,
     stopDueAt: Infinity,
-    lookDueAt: Infinity,
+    pollDueAt: Infinity,
     stopReason: '',
   }
 }
--- a/packages/dispatch/src/lib/runs/cutOffLeader.test.ts
+++ b/packages/dispatch/src/lib/runs/cutOffLeader.test.ts
@@ -1,15 +1,14 @@
 /**
- * What users saw: a task ran on two endpoints at the same time, 0.5 s after an availability zone had
- * been cut off.
+ * Guards against running a task on two endpoints at the same time, 0.5 s after an availability zone
+ * is partitioned from the others.
  *
- * Order of events: the leader, in the cut-off zone, had a run on an endpoint of another zone, and
- * got no word of it any more. The next leader was elected there, found the run and renewed its
- * lease. The old leader, which had not yet noticed that no majority follows it, saw the lease that it
- * had given itself run out, took the run for lost and started the task on an endpoint of its own zone.
+ * The leader, in the partitioned zone, has a run on an endpoint of another zone and gets no answers
+ * from there. The next leader is elected in that other zone, finds the run and renews its lease.
+ * The old leader has not yet noticed that it lost its majority; it sees the lease that it granted
+ * expire, takes the run for lost and starts the task on an endpoint of its own zone, under the
+ * older fencing token. The second run then starts before the first one ends.
  *
- * Cause: a lease that has run out proves that nothing runs only as long as nobody else may have
- * renewed it. Evidence: the endpoint's own end of the first run lies after the start of the second, and
- * the second carries the older fencing token.
+ * An expired lease proves that nothing runs only while no other leader can have renewed it.
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
@@ -18,10 +17,10 @@
 const RUN_MS = 2_000
 
 /**
- * A run on one of two endpoints. The leader is cut off from that one and from the majority, and the
- * other side from the other endpoint.
+ * Starts a run on one of two endpoints, then partitions the network: the leader reaches neither
+ * that endpoint nor the majority, and the majority does not reach the other endpoint.
  */
-function cutOffLeader(cutAfterMs: number): DispatchWorld {
+function partitionLeader(cutAfterMs: number): DispatchWorld {
   const world = new DispatchWorld({
     leaders: 2,
     endpoints: 2,
@@ -40,16 +39,16 @@
   return world
 }
 
-describe('a leader that is cut off from a run and from the majority', () => {
-  it('does not start the task again while the next leader may keep the run', () => {
+describe('a leader that is partitioned from a run and from the majority', () => {
+  it('does not restart the task while the next leader may renew the lease of the run', () => {
     for (let cutAfterMs = 20; cutAfterMs <= 600; cutAfterMs += 20) {
-      const world = cutOffLeader(cutAfterMs)
+      const world = partitionLeader(cutAfterMs)
       world.run(3_500)
       assert.deepEqual(world.violations, [], `cut after ${cutAfterMs} ms`)
     }
   })
 
-  it('starts it again when the endpoint alone is out of reach and its lease has run out', () => {
+  it('restarts it when only the endpoint is unreachable and its lease has expired', () => {
     const world = new DispatchWorld({
       leaders: 1,
       endpoints: 2,
--- a/packages/dispatch/src/lib/runs/lookTimes.ts
+++ b/packages/dispatch/src/lib/runs/lookTimes.ts
@@ -1,33 +1,34 @@
 import type { Run } from './Run'
 
 /**
- * A run that takes this many times its estimate may have ended without our hearing of it: while
- * orders get lost, and otherwise. One sound run in two takes longer than its estimate, and one in
- * twenty twice as long; then a look costs two short messages. While orders get lost, a
- * job of many tasks is in time only if each lost answer is made up for at once.
+ * Multiples of the estimate after which a run may have ended without the report reaching this
+ * instance: while messages are being lost, and otherwise. One normal run in two takes longer than
+ * its estimate, and one in twenty twice as long; each then costs a poll of two short messages.
+ * While messages are being lost, a job of many tasks finishes in time only if each lost answer is
+ * made up for at once.
  */
 const LOSSY_FACTOR = 1.05
-const CALM_FACTOR = 2
-/** Orders count as getting lost for so long after one was, in milliseconds. */
-const LOSSY_MS = 3_000
-/** What the news of an end takes beside, in milliseconds: the way, and a busy instance. */
-const NEWS_MS = 8
-/** Pause until the next look: a share of the estimate, and a least one in milliseconds. */
-const AGAIN_FACTOR = 0.4
-const LEAST_PAUSE_MS = 25
+const RELIABLE_FACTOR = 2
+/** For how long after an unanswered order messages count as being lost, in milliseconds. */
+const LOSSY_PERIOD_MS = 3_000
+/** Extra time for the report of an end, in milliseconds: network latency and a busy instance. */
+const DELIVERY_MS = 8
+/** Interval until the next poll: a fraction of the estimate, and a minimum in milliseconds. */
+const REPEAT_FACTOR = 0.4
+const MIN_REPEAT_MS = 25
 
 /**
- * When to ask for a run that has just begun, as nothing was heard of its end.
+ * When to first poll for a run that has just started, unless its end is reported before.
  *
- * @param silenceAt - when an order was last taken for lost
+ * @param silenceAt - when an order last went unanswered
  * @internal
  */
-export function firstLookAt(now: number, { expectedMs }: Run, silenceAt: number): number {
-  const factor = now - silenceAt < LOSSY_MS ? LOSSY_FACTOR : CALM_FACTOR
-  return now + expectedMs * factor + NEWS_MS
+export function firstPollAt(now: number, { expectedMs }: Run, silenceAt: number): number {
+  const factor = now - silenceAt < LOSSY_PERIOD_MS ? LOSSY_FACTOR : RELIABLE_FACTOR
+  return now + expectedMs * factor + DELIVERY_MS
 }
 
-/** When to ask again after a look. @internal */
-export function lookAgainAt(now: number, { expectedMs }: Run): number {
-  return now + Math.max(LEAST_PAUSE_MS, AGAIN_FACTOR * expectedMs)
+/** When to poll again after a poll. @internal */
+export function nextPollAt(now: number, { expectedMs }: Run): number {
+  return now + Math.max(MIN_REPEAT_MS, REPEAT_FACTOR * expectedMs)
 }
--- a/packages/dispatch/src/lib/runs/runEndOf.ts
+++ b/packages/dispatch/src/lib/runs/runEndOf.ts
@@ -1,7 +1,7 @@
 import { ListedEnd } from '@cherryhitch/protocol'
 import { RunEnd } from './Run'
 
-/** What an end that an endpoint lists means for its run. @internal */
+/** Maps an end reported by an endpoint to the end of its run. @internal */
 export function runEndOf(end: ListedEnd): RunEnd {
   switch (end) {
     case ListedEnd.DONE:
