--- a/packages/control/src/lib/bench/controlBench.ts
+++ b/packages/control/src/lib/bench/controlBench.ts
@@ -1,5 +1,6 @@
 /**
- * Measures commits, syncs, restart and idle traffic of the log, in one process over in-memory links.
+ * Measures commit latency, syncs, failover, restart time and idle traffic of the replicated log, in
+ * one process with in-memory links.
  *
  * `npx tsx packages/control/src/lib/bench/controlBench.ts [seconds]`
  */
@@ -13,7 +14,7 @@
 import { Effect } from 'effect'
 import { PresetName } from '../state/presets'
 import { keyClaim, setPreset } from '../testing/commands'
-import { NodeCluster, until } from '../testing/nodeCluster'
+import { NodeCluster, waitUntil } from '../testing/nodeCluster'
 
 const voters = ['v1', 'v2', 'v3']
 const followers = ['f1', 'f2', 'f3', 'f4']
@@ -23,7 +24,7 @@
 
 const realFolder = fs.mkdtempSync(path.join(os.tmpdir(), 'control-bench-'))
 
-/** Syncs of files so far, on the disks in memory. */
+/** Number of file syncs so far on the in-memory disks. */
 let syncs = 0
 
 class CountingDisk extends MemoryDisk {
@@ -33,16 +34,16 @@
   }
 }
 
-interface Figures {
+interface Summary {
   readonly p50: number
   readonly p99: number
   readonly count: number
 }
 
-function describe(times: number[]): Figures {
+function summarize(times: number[]): Summary {
   const sorted = [...times].sort((a, b) => a - b)
-  const at = (share: number): number => sorted[Math.floor(share * (sorted.length - 1))] ?? NaN
-  return { p50: round(at(0.5)), p99: round(at(0.99)), count: sorted.length }
+  const quantile = (share: number): number => sorted[Math.floor(share * (sorted.length - 1))] ?? NaN
+  return { p50: round(quantile(0.5)), p99: round(quantile(0.99)), count: sorted.length }
 }
 
 function round(value: number): number {
@@ -53,11 +54,11 @@
   process.stdout.write(`${line}\n`)
 }
 
-/** Stands for files of this machine instead of disks in memory. */
+/** Selects real files on this machine instead of in-memory disks. */
 const REAL = 'real'
 type SyncDelay = number | typeof REAL
 
-/** Default times, as the daemon has them. */
+/** Starts a cluster with the default timing, as in the daemon. */
 async function startCluster(syncDelay: SyncDelay, encodes = false): Promise<NodeCluster> {
   const cluster = new NodeCluster(voters, {}, encodes)
   for (const voter of voters) {
@@ -66,9 +67,9 @@
   }
   for (const follower of followers) await cluster.start(follower)
   const all = [...voters, ...followers]
-  await until(
+  await waitUntil(
     () => all.every((instance) => cluster.node(instance).settings()?.current === true),
-    'all are current',
+    'all instances have current settings',
   )
   return cluster
 }
@@ -81,9 +82,9 @@
   return disk
 }
 
-/** Syncs of the three voters together; those of real files are not counted. */
-function describeSyncs(before: number, claims: number): string {
-  return syncs === before ? '' : `, ${round((syncs - before) / claims)} syncs a claim`
+/** Formats the syncs per claim of all three voters; empty for real files, which are not counted. */
+function formatSyncs(before: number, claims: number): string {
+  return syncs === before ? '' : `, ${round((syncs - before) / claims)} syncs per claim`
 }
 
 async function claimOnce(cluster: NodeCluster, instance: string, key: string): Promise<number> {
@@ -94,17 +95,17 @@
   return performance.now() - start
 }
 
-async function measureAlone(syncDelay: SyncDelay, count: number): Promise<void> {
+async function measureSequential(syncDelay: SyncDelay, count: number): Promise<void> {
   const cluster = await startCluster(syncDelay)
   const before = syncs
   const times: number[] = []
   for (let at = 0; at < count; at++) times.push(await claimOnce(cluster, 'f1', `alone${at}`))
-  const { p50, p99 } = describe(times)
-  print(`sync ${syncDelay} ms, alone: p50 ${p50} p99 ${p99} ms${describeSyncs(before, count)}`)
+  const { p50, p99 } = summarize(times)
+  print(`sync ${syncDelay} ms, sequential: p50 ${p50} p99 ${p99} ms${formatSyncs(before, count)}`)
   await cluster.stopAll()
 }
 
-/** Claims arrive at a steady pace at all instances in turn, whatever the answers do. */
+/** Sends claims at a fixed rate to all instances in turn, without waiting for the answers. */
 async function measureRate(
   syncDelay: SyncDelay,
   perSecond: number,
@@ -124,19 +125,19 @@
     }
     await new Promise((resolve) => setTimeout(resolve, 1))
   }
-  const { p50, p99, count } = describe(await Promise.all(running))
+  const { p50, p99, count } = summarize(await Promise.all(running))
   const head = `sync ${syncDelay} ms, ${perSecond}/s for ${seconds} s`
-  print(`${head}: p50 ${p50} p99 ${p99} ms${describeSyncs(before, count)}`)
+  print(`${head}: p50 ${p50} p99 ${p99} ms${formatSyncs(before, count)}`)
   await cluster.stopAll()
 }
 
 async function measureRestart(): Promise<void> {
   const cluster = new NodeCluster(['v1'], {})
   let node = await cluster.start('v1')
-  await until(() => node.isLeader(), 'it leads')
+  await waitUntil(() => node.isLeader(), 'it is the leader')
   let version = 1
   while (version <= RESTART_CHANGES) {
-    // Operators who race one another: of each round one change wins.
+    // Concurrent changes by operators: one change of each round is applied.
     const round = Array.from({ length: CONCURRENT_CHANGES }, (_, at) => {
       const preset = presets[(version + at) % presets.length] ?? ''
       return node.propose(setPreset(`c${version + at}`, preset, version + at))
@@ -148,15 +149,15 @@
   const start = performance.now()
   node = await cluster.start('v1')
   const opened = round(performance.now() - start)
-  await until(() => node.settings()?.current === true, 'it is current')
+  await waitUntil(() => node.settings()?.current === true, 'its settings are current')
   const current = round(performance.now() - start)
   const held = node.settings()?.settings.version
   print(`restart after ${RESTART_CHANGES} changes: opened ${opened} ms, current ${current} ms`)
-  print(`  version ${held}; its election included`)
+  print(`  version ${held}; the time to current includes the election`)
   await cluster.stopAll()
 }
 
-/** From the death of the leader to the first claim that is granted after it. */
+/** Measures the time from the crash of the leader to the next granted claim. */
 async function measureFailover(rounds: number): Promise<void> {
   const cluster = await startCluster(4)
   const times: number[] = []
@@ -175,7 +176,7 @@
     await new Promise((resolve) => setTimeout(resolve, 1_500))
   }
   const [worst = NaN] = [...times].sort((a, b) => b - a)
-  print(`failover, ${rounds} times: p50 ${describe(times).p50} worst ${round(worst)} ms`)
+  print(`failover, ${rounds} times: p50 ${summarize(times).p50} worst ${round(worst)} ms`)
   await cluster.stopAll()
 }
 
@@ -198,7 +199,7 @@
 const seconds = Number(process.argv[2] ?? 10)
 await measureFailover(12)
 for (const syncDelay of [0, 4, REAL] as const) {
-  await measureAlone(syncDelay, 50 * seconds)
+  await measureSequential(syncDelay, 50 * seconds)
   for (const perSecond of [1, 100, 1_000]) await measureRate(syncDelay, perSecond, seconds)
 }
 for (const disk of realDisks) await Effect.runPromise(disk.close())
--- a/packages/control/src/lib/node/ClaimBatcher.test.ts
+++ b/packages/control/src/lib/node/ClaimBatcher.test.ts
@@ -28,7 +28,7 @@
 }
 
 describe('ClaimBatcher', () => {
-  it('gathers claims while a command is under way', () => {
+  it('collects claims while a command is in flight', () => {
     const batcher = new ClaimBatcher('x')
     collect(batcher, ['k1'])
     const first = batcher.next(0)
@@ -48,7 +48,7 @@
     [CommandResult.REJECTED, 0, 'k unknown'],
   ]
   for (const [result, count, expected] of table) {
-    it(`tells "${expected}" after ${CommandResult[result]} with ${count} answers`, () => {
+    it(`reports "${expected}" after ${CommandResult[result]} with ${count} answers`, () => {
       const batcher = new ClaimBatcher('x')
       const outcomes = collect(batcher, ['k'])
       const command = batcher.next(0)
@@ -57,7 +57,7 @@
     })
   }
 
-  it('tells a claim that was never sent as not claimed, once its time is up', () => {
+  it('reports a claim that expires before it is sent as not claimed', () => {
     const batcher = new ClaimBatcher('x')
     collect(batcher, ['k1'])
     batcher.next(0)
@@ -82,10 +82,10 @@
     assert.equal(batcher.next(10_000), undefined)
   })
 
-  it('bounds what waits, and counts what it drops', () => {
+  it('bounds the pending ends and counts the dropped ones', () => {
     const batcher = new ClaimEndBatcher('x')
     for (let at = 0; at < 20_005; at++) batcher.add(claimEnd(`k${at}`, 'job', 'a'))
-    assert.equal(batcher.waiting, 20_000)
-    assert.equal(batcher.dropped, 5)
+    assert.equal(batcher.pendingCount, 20_000)
+    assert.equal(batcher.droppedCount, 5)
   })
 })
--- a/packages/control/src/lib/node/ClaimBatcher.ts
+++ b/packages/control/src/lib/node/ClaimBatcher.ts
@@ -5,72 +5,76 @@
 import { Err, Ok } from '@cherryhitch/model'
 import { ControlError, ControlErrorKind } from '../errors/ControlError'
 
-/** Claims in one command; it bounds the size of a log entry. */
+/** Maximum number of claims in a command; it bounds the size of a log entry. */
 const MAX_CLAIMS_PER_COMMAND = 500
 
-/** Undefined: truly not claimed. An error: nobody knows. @internal */
+/**
+ * The answer to a claim. Undefined if it was certainly not committed; an error if it may or may not
+ * have been.
+ *
+ * @internal
+ */
 export type ClaimOutcome = Result<ClaimAnswer | undefined, ControlError>
 
-interface WaitingClaim {
+interface PendingClaim {
   readonly claim: KeyClaim
   readonly deadline: number
   readonly done: (outcome: ClaimOutcome) => void
 }
 
 /**
- * Puts claims together that wait at the same time: while one command is under way, the claims that
- * arrive go out together in the next one.
+ * Batches claims: while one command is in flight, new claims are collected for the next command.
  *
  * @internal
  */
 export class ClaimBatcher {
   readonly #idPrefix: string
-  #waiting: WaitingClaim[] = []
-  #underWay: { readonly commandId: string; readonly claims: readonly WaitingClaim[] } | undefined
-  #commands = 0
+  #pending: PendingClaim[] = []
+  #inFlight: { readonly commandId: string; readonly claims: readonly PendingClaim[] } | undefined
+  #commandCount = 0
 
-  /** @param idPrefix - unique to this boot of the instance */
+  /** @param idPrefix - prefix of the command ids; unique to this boot of the instance */
   constructor(idPrefix: string) {
     this.#idPrefix = idPrefix
   }
 
-  get commands(): number {
-    return this.#commands
+  get commandCount(): number {
+    return this.#commandCount
   }
 
-  add(claim: WaitingClaim): void {
-    this.#waiting.push(claim)
+  add(claim: PendingClaim): void {
+    this.#pending.push(claim)
   }
 
-  /** The next command to propose, when there are claims and none is under way. */
+  /** The next command to propose, if claims are pending and no command is in flight. */
   next(now: number): Command | undefined {
-    this.#dropOverdue(now)
-    if (this.#underWay !== undefined || this.#waiting.length === 0) return undefined
-    const claims = this.#waiting.slice(0, MAX_CLAIMS_PER_COMMAND)
-    this.#waiting = this.#waiting.slice(MAX_CLAIMS_PER_COMMAND)
-    const commandId = `claims.${this.#idPrefix}.${++this.#commands}`
-    this.#underWay = { commandId, claims }
+    this.#dropExpired(now)
+    if (this.#inFlight !== undefined || this.#pending.length === 0) return undefined
+    const claims = this.#pending.slice(0, MAX_CLAIMS_PER_COMMAND)
+    this.#pending = this.#pending.slice(MAX_CLAIMS_PER_COMMAND)
+    const commandId = `claims.${this.#idPrefix}.${++this.#commandCount}`
+    this.#inFlight = { commandId, claims }
     const value = { claims: claims.map(({ claim }) => claim) }
     return create(CommandSchema, { commandId, change: { case: 'claimKeys', value } })
   }
 
-  /** Answers the claims of a command; false for a command of somebody else. */
+  /** Answers the claims of a command; false if the command is not from this batcher. */
   onAnswer(answer: CommandAnswer): boolean {
-    const batch = this.#underWay
+    const batch = this.#inFlight
     if (batch?.commandId !== answer.commandId) return false
-    this.#underWay = undefined
+    this.#inFlight = undefined
     batch.claims.forEach(({ done }, position) => {
       done(outcomeOf(answer, position))
     })
     return true
   }
 
-  /** Those that were never sent are truly not claimed. */
-  #dropOverdue(now: number): void {
-    const overdue = this.#waiting.filter(({ deadline }) => deadline <= now)
-    if (overdue.length === 0) return
-    this.#waiting = this.#waiting.filter(({ deadline }) => deadline > now)
-    for (const { done } of overdue) done(Ok(undefined))
+  /** Claims that expire before they are sent are certainly not committed. */
+  #dropExpired(now: number): void {
+    const expired = this.#pending.filter(({ deadline }) => deadline <= now)
+    if (expired.length === 0) return
+    this.#pending = this.#pending.filter(({ deadline }) => deadline > now)
+    for (const { done } of expired) done(Ok(undefined))
   }
 }
 
--- a/packages/control/src/lib/node/ClientEvent.ts
+++ b/packages/control/src/lib/node/ClientEvent.ts
@@ -7,19 +7,19 @@
   SettingsState,
 } from '@cherryhitch/protocol'
 
-/** What the client part of an instance is told. @internal */
+/** Kinds of input events of a client. @internal */
 export enum ClientEventKind {
   Propose = 'propose',
   Read = 'read',
   Received = 'received',
   LocalSettings = 'local_settings',
-  SettingsKept = 'settings_kept',
+  SettingsStored = 'settings_kept',
   PeerSeen = 'peer_seen',
 }
 
-/** What a read through the quorum is to bring. @internal */
+/** What a read through the quorum returns in addition to the settings. @internal */
 export interface ReadRange {
-  /** Position of the first audit record; negative for none. */
+  /** Position of the first audit record to return; negative for none. */
   readonly auditFrom: number
   readonly auditLimit: number
   readonly withRouting: boolean
@@ -30,7 +30,7 @@
   | {
       readonly kind: ClientEventKind.Propose
       readonly command: Command
-      /** After this the answer is given as it stands: not accepted, or unknown. */
+      /** Time after which the result is `UNAVAILABLE` if it was not accepted, else `UNKNOWN`. */
       readonly timeoutMs: number
     }
   | ({ readonly kind: ClientEventKind.Read; readonly readId: string } & ReadRange)
@@ -39,23 +39,23 @@
       readonly from: string
       readonly body: EnvelopeBody
     }
-  /** The voter of this instance knows these settings to be committed. */
+  /** The own voter knows these settings to be committed. */
   | { readonly kind: ClientEventKind.LocalSettings; readonly settings: SettingsState }
-  /** The settings are on the disk: from now on a restart does not go behind them. */
-  | { readonly kind: ClientEventKind.SettingsKept; readonly settings: SettingsState }
-  /** An instance of the own zone, and the version that it says it has. */
+  /** The settings are stored, so that a restart does not go back to an earlier version. */
+  | { readonly kind: ClientEventKind.SettingsStored; readonly settings: SettingsState }
+  /** An instance of the own availability zone announced its settings version. */
   | {
       readonly kind: ClientEventKind.PeerSeen
       readonly instance: string
       readonly settingsVersion: number
     }
 
-/** What the client part asks its shell to do. @internal */
+/** Kinds of actions that a client asks its host to perform. @internal */
 export enum ClientActionKind {
   Send = 'send',
   Answered = 'answered',
   ReadAnswered = 'read_answered',
-  KeepSettings = 'keep_settings',
+  StoreSettings = 'keep_settings',
   SettingsChanged = 'settings_changed',
 }
 
@@ -68,11 +68,11 @@
       readonly readId: string
       readonly reply: ReadControlReply
     }
-  /** Newer settings are to be stored; they take force once they are. */
-  | { readonly kind: ClientActionKind.KeepSettings; readonly settings: SettingsState }
+  /** Store newer settings; they take effect once they are stored. */
+  | { readonly kind: ClientActionKind.StoreSettings; readonly settings: SettingsState }
   | {
       readonly kind: ClientActionKind.SettingsChanged
       readonly settings: SettingsState
-      /** False while the lease on them has run out: they are the newest known here. */
+      /** False if the lease has expired: the settings are only the newest known here. */
       readonly current: boolean
     }
--- a/packages/control/src/lib/node/ClientMachine.ts
+++ b/packages/control/src/lib/node/ClientMachine.ts
@@ -27,8 +27,8 @@
 type ReadEvent = Extract<ClientEvent, { kind: ClientEventKind.Read }>
 
 /**
- * What every instance has, with a disk or without: it finds the leader, proposes, reads, and
- * follows the settings.
+ * Client of the replicated log, which every instance has, with or without a disk: finds the leader,
+ * proposes commands, reads, and follows the settings.
  *
  * @internal
  */
@@ -38,7 +38,7 @@
   readonly #proposals: ProposalClient
   readonly #settings: SettingsClient
   readonly #reads = new Map<string, PendingRead>()
-  #sentReads = 0
+  #requestCount = 0
 
   constructor(options: ClientOptions) {
     super()
@@ -74,11 +74,11 @@
         return this.#receive(now, event.from, event.body)
       case ClientEventKind.LocalSettings:
         return this.#settings.adopt(now, event.settings)
-      case ClientEventKind.SettingsKept:
-        return this.#settings.onKept(now, event.settings)
+      case ClientEventKind.SettingsStored:
+        return this.#settings.onStored(now, event.settings)
       case ClientEventKind.PeerSeen:
-        this.#finder.notePeer(event.instance)
-        return this.#settings.notePeer(now, event.instance, event.settingsVersion)
+        this.#finder.addPeer(event.instance)
+        return this.#settings.onPeerSeen(now, event.instance, event.settingsVersion)
       default:
         return exhaustive(event)
     }
@@ -94,8 +94,8 @@
       case 'proposeReply':
         return this.#proposals.onReply(now, from, body.value)
       case 'readControlReply':
-        if (body.value.ok) this.#finder.confirm(from)
-        else this.#finder.noteHint(from, body.value.leader)
+        if (body.value.ok) this.#finder.confirmLeader(from)
+        else this.#finder.onLeaderHint(from, body.value.leader)
         return [
           ...this.#settings.onReadReply(now, body.value),
           ...this.#onReadReply(now, body.value),
@@ -103,28 +103,28 @@
       case 'settingsNotice':
         return this.#settings.onNotice(now, from, body.value.settings)
       case 'propose':
-        return [this.#sendOn(from, body.value.requestId)]
+        return [this.#replyNotLeader(from, body.value.requestId)]
       case 'readControl':
-        return [this.#answerPeer(from, body.value)]
+        return [this.#replyUnconfirmed(from, body.value)]
       default:
         return []
     }
   }
 
-  /** An instance without a voter names the leader, if it knows it. */
-  #sendOn(to: string, requestId: string): ClientAction {
+  /** An instance without a voter accepts no proposal; it names the leader if it knows it. */
+  #replyNotLeader(to: string, requestId: string): ClientAction {
     const value = { requestId, leader: this.#finder.leader }
     const message = envelope({ case: 'proposeReply', value })
     return { kind: ClientActionKind.Send, to, envelope: message }
   }
 
-  /** A peer that is cut off from the leader gets the newest settings that are known here. */
-  #answerPeer(to: string, { requestId }: ReadControl): ClientAction {
-    const message = envelope({ case: 'readControlReply', value: this.#unconfirmed(requestId) })
+  /** Answers a peer that cannot reach the leader with the newest settings known here. */
+  #replyUnconfirmed(to: string, { requestId }: ReadControl): ClientAction {
+    const message = envelope({ case: 'readControlReply', value: this.#unconfirmedReply(requestId) })
     return { kind: ClientActionKind.Send, to, envelope: message }
   }
 
-  #unconfirmed(requestId: string): ReadControlReply {
+  #unconfirmedReply(requestId: string): ReadControlReply {
     const reply = create(ReadControlReplySchema, { requestId, leader: this.#finder.leader })
     if (this.#settings.settings !== undefined) reply.settings = this.#settings.settings
     return reply
@@ -141,10 +141,10 @@
 
   #sendRead(now: number, read: PendingRead): ClientAction[] {
     read.dueAt = now + this.#options.timing.attemptMs
-    const to = this.#finder.target()
+    const to = this.#finder.nextTarget()
     if (to === undefined) return []
     const { instance, boot } = this.#options
-    read.requestId = `${instance}.${boot}.read.${++this.#sentReads}`
+    read.requestId = `${instance}.${boot}.read.${++this.#requestCount}`
     read.target = to
     const { requestId, auditFrom, auditLimit, withRouting } = read
     const value = { requestId, auditFrom, auditLimit, withRouting }
@@ -168,11 +168,11 @@
   #tickRead(now: number, read: PendingRead): ClientAction[] {
     if (now >= read.deadline) {
       this.#reads.delete(read.readId)
-      const reply = this.#unconfirmed('')
+      const reply = this.#unconfirmedReply('')
       return [{ kind: ClientActionKind.ReadAnswered, readId: read.readId, reply }]
     }
     if (now < read.dueAt) return []
-    if (read.requestId !== '') this.#finder.noteSilence(read.target)
+    if (read.requestId !== '') this.#finder.clearLeader(read.target)
     return this.#sendRead(now, read)
   }
 }
--- a/packages/control/src/lib/node/ClientOptions.ts
+++ b/packages/control/src/lib/node/ClientOptions.ts
@@ -1,16 +1,19 @@
-/** Times in milliseconds; weighed in `docs/design/voters-log.md`. @public */
+/** Times in milliseconds; `docs/design/voters-log.md` gives the reasons for all values. @public */
 export interface ClientTiming {
-  /** A message to the leader that is not answered within this goes to another voter. */
+  /** Time after which an unanswered request is sent to another instance. */
   readonly attemptMs: number
-  /** Pause before another voter is asked when no leader was named. */
+  /** Delay before the next attempt if no leader is known or a request was refused. */
   readonly retryMs: number
-  /** Between two reads of the settings while they are current. */
+  /** Interval between reads of the settings while these reads succeed. */
   readonly pollMs: number
-  /** How long the settings are current after the read that confirmed them was sent. */
+  /** How long the settings count as current, from when the read that confirmed them was sent. */
   readonly settingsLeaseMs: number
-  /** After this a command of an operator is answered as it stands. */
+  /**
+   * Time after which a read is answered as unconfirmed, and an operator's command as `UNAVAILABLE`
+   * or `UNKNOWN`.
+   */
   readonly proposalTimeoutMs: number
-  /** The same for claims: the caller of a job waits for them. */
+  /** The same for claims; it is shorter because the caller of a job waits for them. */
   readonly claimTimeoutMs: number
 }
 
@@ -19,7 +22,7 @@
   attemptMs: 500,
   retryMs: 100,
   pollMs: 1_000,
-  // A tenth less than the leader reckons with, for clocks that run at different speeds.
+  // A tenth less than the leader's lease, to allow for clocks that run at different speeds.
   settingsLeaseMs: 2_700,
   proposalTimeoutMs: 6_000,
   claimTimeoutMs: 3_000,
@@ -29,9 +32,9 @@
 export interface ClientOptions {
   readonly instance: string
   readonly boot: number
-  /** Instances known from settings to host voters. */
+  /** Instances that host voters, according to the settings of the process. */
   readonly voters: readonly string[]
   readonly timing: ClientTiming
-  /** True where there is a disk: newer settings are stored before they take force. */
-  readonly keepsSettings: boolean
+  /** True if there is a disk: newer settings are then stored before they take effect. */
+  readonly storesSettings: boolean
 }
--- a/packages/control/src/lib/node/ControlHost.ts
+++ b/packages/control/src/lib/node/ControlHost.ts
@@ -28,15 +28,17 @@
 import type { ControlNodeOptions } from './ControlNodeOptions'
 import { isVoterMessage } from './isVoterMessage'
 
-/** What waits in the mailbox of an instance's control part. @internal */
+/** Events in the mailbox of a control node. @internal */
 export type NodeEvent =
   | { readonly to: NodePart.Voter; readonly event: ControlEvent }
   | { readonly to: NodePart.Client; readonly event: ClientEvent }
-  /** Claims or ends wait; those of one turn of the event loop share a command. */
+  /**
+   * Claims or claim ends are pending; those added in one turn of the event loop share a command.
+   */
   | { readonly to: NodePart.Batches }
   | { readonly to: NodePart.Timer }
 
-/** @internal */
+/** The component that handles an event. @internal */
 export enum NodePart {
   Voter = 'voter',
   Client = 'client',
@@ -54,19 +56,19 @@
   readonly diskId: string | undefined
   readonly tell: (event: NodeEvent) => void
   readonly persist: (batch: PersistBatch) => void
-  readonly keepSettings: (settings: SettingsState) => void
+  readonly storeSettings: (settings: SettingsState) => void
 }
 
-type Done<T> = (value: T) => void
+type Callback<T> = (value: T) => void
 
-/** Holds the machines of an instance and carries out what they ask for. @internal */
+/** Runs the state machines of a control node and performs their actions. @internal */
 export class ControlHost {
   readonly diskId: string | undefined
   readonly #parts: ControlHostParts
-  readonly #answers = new Map<string, Done<CommandAnswer>[]>()
-  readonly #reads = new Map<string, Done<ReadControlReply>>()
+  readonly #proposalCallbacks = new Map<string, Callback<CommandAnswer>[]>()
+  readonly #readCallbacks = new Map<string, Callback<ReadControlReply>>()
   readonly #claims: ClaimBatcher
-  #leadsInTerm: number | undefined
+  #reportedTerm: number | undefined
   readonly #ends: ClaimEndBatcher
   readonly #counters = {
     messages_sent: 0,
@@ -95,18 +97,21 @@
     }
   }
 
-  notePeer(instance: string, settingsVersion: number): void {
+  observePeer(instance: string, settingsVersion: number): void {
     this.#tellClient({ kind: ClientEventKind.PeerSeen, instance, settingsVersion })
   }
 
-  propose(command: Command, done: Done<CommandAnswer>): void {
+  propose(command: Command, done: Callback<CommandAnswer>): void {
     const { commandId } = command
-    this.#answers.set(commandId, [...(this.#answers.get(commandId) ?? []), done])
+    this.#proposalCallbacks.set(commandId, [
+      ...(this.#proposalCallbacks.get(commandId) ?? []),
+      done,
+    ])
     const timeoutMs = this.#parts.timing.proposalTimeoutMs
     this.#tellClient({ kind: ClientEventKind.Propose, command, timeoutMs })
   }
 
-  claim(claim: KeyClaim, done: Done<ClaimAnswer | ControlError | undefined>): void {
+  claim(claim: KeyClaim, done: Callback<ClaimAnswer | ControlError | undefined>): void {
     const deadline = this.#parts.clock.now() + this.#parts.timing.claimTimeoutMs
     this.#claims.add({
       claim,
@@ -123,9 +128,9 @@
     this.#parts.tell({ to: NodePart.Batches })
   }
 
-  read(range: ReadRange, done: Done<ReadControlReply>): void {
+  read(range: ReadRange, done: Callback<ReadControlReply>): void {
     const readId = `read.${++this.#counters.reads}`
-    this.#reads.set(readId, done)
+    this.#readCallbacks.set(readId, done)
     this.#tellClient({ kind: ClientEventKind.Read, readId, ...range })
   }
 
@@ -135,11 +140,11 @@
     return settings && { settings, current: client.isCurrent(clock.now()) }
   }
 
-  handOver(): void {
+  transferLeadership(): void {
     this.#parts.tell({ to: NodePart.Voter, event: { kind: ControlEventKind.TransferLeadership } })
   }
 
-  /** When a majority last followed this instance as its leader; -Infinity if it doesn't lead. */
+  /** See `ControlNode.confirmedAt`. */
   confirmedAt(): number {
     const { voter, clock } = this.#parts
     return voter?.confirmedAt(clock.now()) ?? -Infinity
@@ -174,41 +179,45 @@
   counters(): Record<string, number> {
     return {
       ...this.#counters,
-      claim_commands: this.#claims.commands,
-      ends_waiting: this.#ends.waiting,
-      ends_dropped: this.#ends.dropped,
+      claim_commands: this.#claims.commandCount,
+      ends_waiting: this.#ends.pendingCount,
+      ends_dropped: this.#ends.droppedCount,
     }
   }
 
-  /** Handles what waited in the mailbox; what arrived together shares writes and messages. */
+  /** Handles mailbox events; those that arrived together share a batch of writes and messages. */
   handle(events: readonly NodeEvent[]): void {
     const now = this.#parts.clock.now()
     const forVoter: ControlEvent[] = []
     for (const event of events) {
       if (event.to === NodePart.Voter) forVoter.push(event.event)
       else if (event.to === NodePart.Client)
-        this.#runClient(this.#parts.client.step(now, event.event))
+        this.#performClientActions(this.#parts.client.step(now, event.event))
     }
     const { voter } = this.#parts
-    if (voter !== undefined && forVoter.length > 0) this.#runVoter(voter.stepAll(now, forVoter))
+    if (voter !== undefined && forVoter.length > 0)
+      this.#performVoterActions(voter.stepAll(now, forVoter))
     if (events.some(({ to }) => to === NodePart.Timer)) this.#tick(now)
     if (events.some(({ to }) => to === NodePart.Batches)) this.#proposeBatches()
-    this.#tellLeadership()
+    this.#reportLeadership()
   }
 
-  /** Tells the instance once it leads and holds everything, and once it doesn't any more. */
-  #tellLeadership(): void {
+  /**
+   * Reports when this instance has become leader with everything committed in earlier terms, and
+   * when it stops leading.
+   */
+  #reportLeadership(): void {
     const { voter, options } = this.#parts
     const term = voter?.isEstablished === true ? voter.term : undefined
-    if (term === this.#leadsInTerm) return
-    this.#leadsInTerm = term
+    if (term === this.#reportedTerm) return
+    this.#reportedTerm = term
     options.onLeadership?.(term, voter?.routing)
   }
 
   #tick(now: number): void {
     const { voter, client } = this.#parts
-    if (voter !== undefined) this.#runVoter(voter.tick(now))
-    this.#runClient(client.tick(now))
+    if (voter !== undefined) this.#performVoterActions(voter.tick(now))
+    this.#performClientActions(client.tick(now))
     this.#proposeBatches()
   }
 
@@ -225,11 +234,11 @@
     this.#parts.tell({ to: NodePart.Client, event })
   }
 
-  #runVoter(actions: readonly ControlAction[]): void {
-    for (const action of actions) this.#performVoter(action)
+  #performVoterActions(actions: readonly ControlAction[]): void {
+    for (const action of actions) this.#performVoterAction(action)
   }
 
-  #performVoter(action: ControlAction): void {
+  #performVoterAction(action: ControlAction): void {
     const { options, persist } = this.#parts
     switch (action.kind) {
       case ControlActionKind.Send:
@@ -260,11 +269,11 @@
     }
   }
 
-  #runClient(actions: readonly ClientAction[]): void {
-    for (const action of actions) this.#performClient(action)
+  #performClientActions(actions: readonly ClientAction[]): void {
+    for (const action of actions) this.#performClientAction(action)
   }
 
-  #performClient(action: ClientAction): void {
+  #performClientAction(action: ClientAction): void {
     switch (action.kind) {
       case ClientActionKind.Send:
         this.#send(action.to, action.envelope)
@@ -273,11 +282,11 @@
         this.#answer(action.answer)
         return
       case ClientActionKind.ReadAnswered:
-        this.#reads.get(action.readId)?.(action.reply)
-        this.#reads.delete(action.readId)
+        this.#readCallbacks.get(action.readId)?.(action.reply)
+        this.#readCallbacks.delete(action.readId)
         return
-      case ClientActionKind.KeepSettings:
-        this.#parts.keepSettings(action.settings)
+      case ClientActionKind.StoreSettings:
+        this.#parts.storeSettings(action.settings)
         return
       case ClientActionKind.SettingsChanged:
         this.#parts.options.onSettings(action.settings, action.current)
@@ -293,9 +302,9 @@
       this.#proposeBatches()
       return
     }
-    const waiting = this.#answers.get(answer.commandId) ?? []
-    this.#answers.delete(answer.commandId)
-    for (const done of waiting) done(answer)
+    const callbacks = this.#proposalCallbacks.get(answer.commandId) ?? []
+    this.#proposalCallbacks.delete(answer.commandId)
+    for (const callback of callbacks) callback(answer)
   }
 
   #send(to: string, envelope: Envelope): void {
--- a/packages/control/src/lib/node/ControlNode.routing.test.ts
+++ b/packages/control/src/lib/node/ControlNode.routing.test.ts
@@ -4,7 +4,7 @@
 import { CommandResult, CommandSchema } from '@cherryhitch/protocol'
 import type { RoutingState } from '@cherryhitch/protocol'
 import { Effect } from 'effect'
-import { NodeCluster, quickTiming, until } from '../testing/nodeCluster'
+import { NodeCluster, quickTiming, waitUntil } from '../testing/nodeCluster'
 
 const voters = ['a', 'b', 'c']
 let cluster = new NodeCluster([])
@@ -17,7 +17,7 @@
 async function startVoters(): Promise<void> {
   cluster = new NodeCluster(voters)
   for (const name of voters) await cluster.start(name)
-  await until(() => voters.some((name) => cluster.node(name).isLeader()), 'one leads')
+  await waitUntil(() => voters.some((name) => cluster.node(name).isLeader()), 'a leader is elected')
 }
 
 function leader(): string {
@@ -37,8 +37,8 @@
   return state && [state.version, new TextDecoder().decode(state.document)]
 }
 
-describe('the routing in the log', () => {
-  it('is the one of the highest version; a lower or equal one is taken and changes nothing', async () => {
+describe('the replicated routing', () => {
+  it('has the highest version proposed; a lower or equal one is applied without effect', async () => {
     await startVoters()
     assert.equal(await put('a', 5, 'five'), CommandResult.APPLIED)
     assert.equal(await put('b', 3, 'three'), CommandResult.APPLIED)
@@ -46,7 +46,7 @@
     for (const name of voters) assert.deepEqual(await read(name), [5, 'five'])
   })
 
-  it('is still there after all voters were restarted', async () => {
+  it('is kept when all voters restart', async () => {
     await startVoters()
     await put('a', 5, 'five')
     await cluster.stopAll()
@@ -54,28 +54,28 @@
     assert.deepEqual(await read('b'), [5, 'five'])
   })
 
-  it('is told to whoever leads, together with the term', async () => {
-    const told: (readonly [number, number])[] = []
+  it('is reported to each new leader with the term', async () => {
+    const reported: (readonly [number, number])[] = []
     cluster = new NodeCluster(voters)
     for (const name of voters) {
       await cluster.start(name, {
         ...quickTiming,
         onLeadership: (term: number | undefined, routing: RoutingState | undefined) => {
-          if (term !== undefined) told.push([term, routing?.version ?? 0])
+          if (term !== undefined) reported.push([term, routing?.version ?? 0])
         },
       })
     }
-    await until(() => told.length === 1, 'one leads')
+    await waitUntil(() => reported.length === 1, 'a leader is elected')
     await put('a', 5, 'five')
     const first = leader()
     cluster.node(first).handOver()
-    await until(() => told.length === 2, 'another leads')
-    const [before, after] = told
-    assert.ok((after?.[0] ?? 0) > (before?.[0] ?? 0), 'the term rises')
-    assert.equal(after?.[1], 5, 'the next leader has everything that was committed')
+    await waitUntil(() => reported.length === 2, 'another leader is elected')
+    const [before, after] = reported
+    assert.ok((after?.[0] ?? 0) > (before?.[0] ?? 0), 'the term increases')
+    assert.equal(after?.[1], 5, 'the next leader has all committed entries')
   })
 
-  it('is not read without a majority', async () => {
+  it('cannot be read without a majority', async () => {
     await startVoters()
     await put('a', 5, 'five')
     for (const name of ['b', 'c']) await cluster.stop(name)
@@ -83,23 +83,23 @@
   })
 })
 
-describe('a leader that hands over', () => {
-  it('is followed at once by a voter that has everything', async () => {
+describe('a leader that transfers its leadership', () => {
+  it('is succeeded at once by a voter with all entries', async () => {
     await startVoters()
     const old = leader()
     const term = cluster.node(old).term()
     cluster.node(old).handOver()
-    await until(() => leader() !== '' && leader() !== old, 'another leads')
+    await waitUntil(() => leader() !== '' && leader() !== old, 'another leader is elected')
     assert.equal(cluster.node(leader()).term(), term + 1, 'the first election succeeded')
   })
 
-  it('knows when a majority last followed it, and nothing of that once it does not lead', async () => {
+  it('reports when a majority last followed it, until it stops leading', async () => {
     await startVoters()
     const old = leader()
-    await until(() => cluster.node(old).confirmedAt() > -Infinity, 'a majority has answered')
+    await waitUntil(() => cluster.node(old).confirmedAt() > -Infinity, 'a majority has replied')
     const others = voters.filter((name) => name !== old)
     for (const name of others) assert.equal(cluster.node(name).confirmedAt(), -Infinity)
     for (const name of others) await cluster.stop(name)
-    await until(() => cluster.node(old).confirmedAt() === -Infinity, 'it has stepped down')
+    await waitUntil(() => cluster.node(old).confirmedAt() === -Infinity, 'it has stepped down')
   })
 })
--- a/packages/control/src/lib/node/ControlNode.test.ts
+++ b/packages/control/src/lib/node/ControlNode.test.ts
@@ -8,7 +8,7 @@
 import { verifyAudit } from '../state/auditChain'
 import { initVoters } from '../store/initVoters'
 import { claimEnd, keyClaim, setPreset } from '../testing/commands'
-import { NodeCluster, until } from '../testing/nodeCluster'
+import { NodeCluster, waitUntil } from '../testing/nodeCluster'
 import type { ControlNode } from './ControlNode'
 
 const voters = ['a', 'b', 'c']
@@ -22,7 +22,7 @@
 async function startVoters(names = voters): Promise<void> {
   cluster = new NodeCluster(names)
   for (const name of names) await cluster.start(name)
-  await until(() => names.some((name) => cluster.node(name).isLeader()), 'one leads')
+  await waitUntil(() => names.some((name) => cluster.node(name).isLeader()), 'a leader is elected')
 }
 
 async function setPresetAt(instance: string, preset: string, version: number): Promise<void> {
@@ -48,23 +48,23 @@
         answers.map((claim) => claim?.verdict),
         [GRANTED, GRANTED, HELD],
       )
-      assert.equal(node.counters().claim_commands, 1, 'they shared one command')
+      assert.equal(node.counters().claim_commands, 1, 'the claims share one command')
       const reply = await Effect.runPromise(node.read(0, 100))
       assert.equal(reply.settings?.preset, 'peak')
       assert.ok(verifyAudit(reply.audit, reply.settings).ok)
     })
   }
 
-  it('stores the end of a claim once the quorum is back, for every later submission', async () => {
+  it('stores the end of a claim for later submissions once the quorum is back', async () => {
     await startVoters()
     const follower = await cluster.start('d')
     await claimAt(follower, keyClaim('k', 'job1'))
     cluster.setCutBothWays(['d'], voters, true)
     follower.endClaim(claimEnd('k', 'job1', 'answer'))
-    await until(() => follower.settings()?.current === false, 'it is cut off')
+    await waitUntil(() => follower.settings()?.current === false, 'its lease has expired')
     cluster.setCutBothWays(['d'], voters, false)
     let held: ClaimAnswer | undefined
-    await until(() => follower.counters().ends_waiting === 0, 'the end is under way')
+    await waitUntil(() => follower.counters().ends_waiting === 0, 'the end has been proposed')
     while (held?.state !== ClaimState.ENDED) {
       held = await claimAt(cluster.node('b'), keyClaim('k', 'job2'))
     }
@@ -74,16 +74,16 @@
 })
 
 describe('a claim without a quorum', () => {
-  it('is truly not made when no leader was found', async () => {
+  it('is not made if no leader is found', async () => {
     cluster = new NodeCluster(voters)
     const alone = await cluster.start('a')
     assert.equal(await claimAt(alone, keyClaim('k', 'job1')), undefined)
   })
 
-  it('is unknown when the leader may have got it, and a release frees the key', async () => {
+  it('is unknown if the leader may have received it, and a release frees the key', async () => {
     await startVoters()
     const follower = await cluster.start('d')
-    await until(() => follower.settings()?.current === true, 'the follower knows the leader')
+    await waitUntil(() => follower.settings()?.current === true, 'the follower knows the leader')
     cluster.setCut(voters, ['d'], true)
     const failed = await Effect.runPromise(Effect.flip(follower.claim(keyClaim('k', 'job1'))))
     assert.equal(failed.kind, ControlErrorKind.ClaimUnknown)
@@ -99,39 +99,42 @@
   })
 })
 
-describe('an instance that is cut off', () => {
-  it('goes on with its last version, says so, and takes the newest when it is back', async () => {
+describe('an instance that is partitioned', () => {
+  it('keeps its version, marked as not current, and adopts the newest on reconnecting', async () => {
     await startVoters()
     const follower = await cluster.start('d')
-    await until(() => follower.settings()?.current === true, 'the follower is current')
+    await waitUntil(() => follower.settings()?.current === true, 'the follower is current')
     cluster.setCutBothWays(['d'], voters, true)
     await setPresetAt('b', 'peak', 1)
-    await until(() => follower.settings()?.current === false, 'its lease has run out')
+    await waitUntil(() => follower.settings()?.current === false, 'its lease has expired')
     assert.equal(follower.settings()?.settings.preset, 'ordinary')
     cluster.setCutBothWays(['d'], voters, false)
-    await until(() => follower.settings()?.settings.preset === 'peak', 'it is back')
+    await waitUntil(() => follower.settings()?.settings.preset === 'peak', 'it has the new version')
   })
 
-  it('starts with the highest version of its zone', async () => {
+  it('starts with the highest version in its availability zone', async () => {
     await startVoters()
     const peer = await cluster.start('d')
     await setPresetAt('a', 'peak', 1)
-    await until(() => peer.settings()?.settings.version === 2, 'its peer has the new version')
+    await waitUntil(() => peer.settings()?.settings.version === 2, 'its peer has the new version')
     cluster.setCutBothWays(['d', 'e'], voters, true)
     const started = await cluster.start('e')
     started.notePeer('d', 2)
-    await until(() => started.settings()?.settings.version === 2, 'it has the version of its peer')
+    await waitUntil(() => started.settings()?.settings.version === 2, "it has its peer's version")
     assert.equal(started.settings()?.current, false)
   })
 
-  it('restarts with the version that was in force before, though no voter can be asked', async () => {
+  it('restarts with the version that was in force before, without reaching another voter', async () => {
     await startVoters()
     await setPresetAt('a', 'peak', 1)
-    await until(() => cluster.node('c').settings()?.settings.version === 2, 'all have it')
+    await waitUntil(
+      () => cluster.node('c').settings()?.settings.version === 2,
+      'the voter has the new version',
+    )
     await cluster.stop('c')
     cluster.setCutBothWays(['c'], ['a', 'b'], true)
     const restarted = await cluster.start('c')
-    await until(() => restarted.settings() !== undefined, 'it has settings')
+    await waitUntil(() => restarted.settings() !== undefined, 'it has settings')
     assert.equal(restarted.settings()?.settings.version, 2)
     assert.equal(restarted.settings()?.current, false)
   })
@@ -140,27 +143,27 @@
 describe('a start', () => {
   const options = { instance: 'a', clusterId: 'k1', voters }
   const refusals: Record<string, Partial<typeof options>> = {
-    'of an instance that is no voter': { instance: 'z' },
+    'on an instance that is not a voter': { instance: 'z' },
     'with a voter named twice': { voters: ['a', 'a', 'b'] },
     'with an invalid cluster id': { clusterId: 'not valid' },
     'with an invalid voter': { voters: ['a', ''] },
   }
   for (const [what, wrong] of Object.entries(refusals)) {
-    it(`of a new set ${what} is refused`, () => {
+    it(`of a new voter set ${what} is refused`, () => {
       const start = initVoters(new MemoryDisk(), { ...options, ...wrong })
       const err = Effect.runSync(Effect.flip(start))
       assert.equal(err.kind, ControlErrorKind.InvalidMembers)
     })
   }
 
-  it('of a new set is refused on a folder that holds a voter', () => {
+  it('of a new voter set is refused on a disk that already holds a voter', () => {
     const disk = new MemoryDisk()
     assert.equal(Effect.runSync(initVoters(disk, options)), 'a-k1')
     const err = Effect.runSync(Effect.flip(initVoters(disk, { ...options, clusterId: 'k2' })))
     assert.equal(err.kind, ControlErrorKind.AlreadyInitialized)
   })
 
-  it('of a new set may be repeated when the disk failed in the middle', () => {
+  it('of a new voter set can be repeated after the disk failed during the first attempt', () => {
     for (let changes = 0; changes < 8; changes++) {
       const disk = new MemoryDisk({ seed: changes + 1 })
       disk.haltAfter(changes)
@@ -172,7 +175,7 @@
     }
   })
 
-  it('does not make a new set by itself: an empty disk waits as a learner', async () => {
+  it('creates no voter set on its own: an empty disk waits to be added as a learner', async () => {
     cluster = new NodeCluster(['a'])
     const disk = new MemoryDisk()
     const node = await cluster.start('x', { disk })
@@ -180,19 +183,19 @@
     assert.ok(cluster.lines.some((line) => line.includes('waits to be added')))
   })
 
-  it('after many changes stores the settings once, not one by one', async () => {
+  it('after many changes stores only the newest settings', async () => {
     await startVoters(['a'])
     for (let version = 1; version <= 60; version++) await setPresetAt('a', 'peak', version)
     await cluster.stop('a')
     const disk = cluster.disks.get('a')
     const before = disk?.changes ?? 0
     const restarted = await cluster.start('a')
-    await until(() => restarted.settings()?.current === true, 'it is current')
+    await waitUntil(() => restarted.settings()?.current === true, 'its settings are current')
     const changes = (disk?.changes ?? 0) - before
-    assert.ok(changes < 60, `${changes} changes of the disk`)
+    assert.ok(changes < 60, `${changes} changes on the disk`)
   })
 
-  it('fails on a damaged disk with a clear message', async () => {
+  it('fails on a damaged disk, with an error that names the file', async () => {
     await startVoters()
     await cluster.stop('a')
     cluster.disks.get('a')?.flip('control-snapshot', 30)
--- a/packages/control/src/lib/node/ControlNode.ts
+++ b/packages/control/src/lib/node/ControlNode.ts
@@ -14,15 +14,16 @@
 import { ControlError } from '../errors/ControlError'
 import type { ControlHost } from './ControlHost'
 
-/** The newest settings that are known here. @public */
+/** The newest settings that this instance knows. @public */
 export interface KnownSettings {
   readonly settings: SettingsState
-  /** False while the quorum can't be reached. */
+  /** False while the quorum cannot be reached. */
   readonly current: boolean
 }
 
 /**
- * An instance's part in presets, audit record and claims. Made by {@link startControlNode}.
+ * An instance's access to the replicated log: presets, audit log and claims. Created by
+ * {@link startControlNode}.
  *
  * @public
  */
@@ -34,19 +35,19 @@
     this.#host = host
   }
 
-  /** Takes a message from another instance; those of other parts are ignored. */
+  /** Handles a message from another instance; messages for other components are ignored. */
   receive(from: string, boot: number, body: EnvelopeBody): void {
     this.#host.receive(from, boot, body)
   }
 
-  /** Notes an instance of the own zone, and the settings version that it says it has. */
+  /** Reports an instance of the own availability zone and its announced settings version. */
   notePeer(instance: string, settingsVersion: number): void {
-    this.#host.notePeer(instance, settingsVersion)
+    this.#host.observePeer(instance, settingsVersion)
   }
 
   /**
-   * Commits a command. The answer is always truthful: `UNAVAILABLE` means truly not accepted,
-   * `UNKNOWN` that it may still be committed; ask again with the same command id.
+   * Commits a command. The result `UNAVAILABLE` guarantees that the command was not accepted. After
+   * `UNKNOWN` it may still be committed; propose it again under the same command id to find out.
    */
   propose(command: Command): Effect.Effect<CommandAnswer> {
     return Effect.callback((resume) => {
@@ -57,12 +58,12 @@
   }
 
   /**
-   * Claims a submission key before its job is dispatched. Claims that wait at the same time share
-   * an entry of the log.
+   * Claims a submission key before its job is dispatched. Claims that are pending at the same time
+   * share a log entry.
    *
-   * @returns undefined when the key is truly not claimed, since no quorum can be reached. An error
-   *   of kind `ClaimUnknown` when nobody knows; then the job must not be dispatched, and ending
-   *   the claim without an answer releases the key.
+   * @returns undefined if the key is certainly not claimed, since no quorum can be reached. Fails
+   *   with an error of kind `ClaimUnknown` if the claim may or may not have been committed; the job
+   *   must then not be dispatched, and ending the claim without an answer releases the key.
    */
   claim(claim: KeyClaim): Effect.Effect<ClaimAnswer | undefined, ControlError> {
     return Effect.callback((resume) => {
@@ -73,17 +74,17 @@
   }
 
   /**
-   * Stores the answer of a claimed job for later submissions of its key; repeated until it is
-   * committed. Without an answer it releases the key: only for a job that was truly never
-   * dispatched and never will be.
+   * Ends a claim and stores the answer of its job for later submissions of the key; proposed again
+   * until it is committed. An end without an answer releases the key, and is only for a job that
+   * was never dispatched and never will be.
    */
   endClaim(end: ClaimEnd): void {
     this.#host.endClaim(end)
   }
 
   /**
-   * Reads through the quorum, with a page of the audit record from a position on (negative for
-   * none). Without a quorum the reply is not ok and has the newest settings known here.
+   * Reads through the quorum, with a page of the audit log that starts at a position (negative for
+   * none). Without a quorum the reply is not `ok` and holds the newest settings known here.
    */
   read(auditFrom: number, limit: number): Effect.Effect<ReadControlReply> {
     return Effect.callback((resume) => {
@@ -94,7 +95,7 @@
     })
   }
 
-  /** Reads the newest routing through the quorum; undefined when no quorum can be reached. */
+  /** Reads the newest routing through the quorum; undefined if no quorum can be reached. */
   readRouting(): Effect.Effect<RoutingState | undefined> {
     return Effect.callback((resume) => {
       const range = { auditFrom: -1, auditLimit: 0, withRouting: true }
@@ -104,14 +105,18 @@
     })
   }
 
-  /** Before the process ends: if it leads, another voter takes over without an election timeout. */
+  /**
+   * Called before the process stops: if this instance leads, another voter takes over without
+   * waiting for the election timeout.
+   */
   handOver(): void {
-    this.#host.handOver()
+    this.#host.transferLeadership()
   }
 
   /**
-   * When a majority is known to have followed this instance as its leader, in milliseconds of its
-   * clock; -Infinity if it doesn't lead. No other leader was elected before that.
+   * The latest time at which a majority is known to have followed this instance as leader, in
+   * milliseconds of its clock; -Infinity if it does not lead. A later leader can only have been
+   * elected after that time.
    */
   confirmedAt(): number {
     return this.#host.confirmedAt()
@@ -122,7 +127,10 @@
     return this.#host.settings()
   }
 
-  /** The voters as the leader sees them, or last told; undefined before that. */
+  /**
+   * Status of the voters as the leader sees it: current if this instance leads, otherwise the last
+   * one received; undefined before that.
+   */
   status(): VotersStatus | undefined {
     return this.#host.status()
   }
@@ -131,25 +139,28 @@
     return this.#host.isLeader()
   }
 
-  /** Instance that leads, as far as is known here; empty if unknown. */
+  /** The leader's instance, as far as this instance knows; empty while no leader is known. */
   leader(): string {
     return this.#host.leader()
   }
 
-  /** Instance that this instance's voter follows or that it is; empty while it hears of none. */
+  /**
+   * The leader that this instance's voter follows, or this instance itself if it leads; empty while
+   * the voter knows no leader.
+   */
   followedLeader(): string {
     return this.#host.followedLeader()
   }
 
   /**
-   * When this process last followed a leader of an earlier term, in milliseconds of its clock;
+   * When this process last followed a leader of a term before `term`, in milliseconds of its clock;
    * undefined if it never did.
    */
   followedBefore(term: number): number | undefined {
     return this.#host.followedBefore(term)
   }
 
-  /** Term that this instance's voter is in; 0 without a disk. */
+  /** Current term of this instance's voter; 0 without a disk. */
   term(): number {
     return this.#host.term()
   }
@@ -159,7 +170,7 @@
     return this.#host.diskId
   }
 
-  /** Numbers for metrics, all rising but for the gauges `claims_waiting` and `ends_waiting`. */
+  /** Values for metrics: monotonic counters, except for the gauge `ends_waiting`. */
   counters(): Record<string, number> {
     return this.#host.counters()
   }
--- a/packages/control/src/lib/node/SettingsClient.test.ts
+++ b/packages/control/src/lib/node/SettingsClient.test.ts
@@ -19,9 +19,9 @@
   return client.settings?.version
 }
 
-function startClient(keepsSettings = false): SettingsClient {
+function startClient(storesSettings = false): SettingsClient {
   const voters = ['a', 'b', 'c']
-  const options = { instance: 'f', boot: 1, voters, timing: defaultClientTiming, keepsSettings }
+  const options = { instance: 'f', boot: 1, voters, timing: defaultClientTiming, storesSettings }
   return new SettingsClient(options, new LeaderFinder('f', voters))
 }
 
@@ -44,7 +44,7 @@
 }
 
 describe('SettingsClient', () => {
-  it('never goes back, in whatever order notices arrive', () => {
+  it('never goes back to an older version, whatever the order of notices', () => {
     const client = startClient()
     const seen = [2, 5, 3, 5, 4, 6, 1].map((number) => {
       client.onNotice(1, 'a', version(number))
@@ -53,14 +53,14 @@
     assert.deepEqual(seen, [2, 5, 5, 5, 5, 6, 6])
   })
 
-  it('confirms a version again when the leader asks, and never an older one', () => {
+  it('confirms a version again on a repeated notice, and never an older version', () => {
     const client = startClient()
     client.onNotice(1, 'a', version(2))
     assert.deepEqual(confirmedVersions(client.onNotice(2, 'a', version(2))), [2])
     assert.deepEqual(confirmedVersions(client.onNotice(3, 'a', version(1))), [])
   })
 
-  it('counts its lease from the time it asked', () => {
+  it('starts its lease when the read is sent', () => {
     const client = startClient()
     const requestId = poll(client, 1_000)
     client.onReadReply(1_500, reply(requestId, version(2)))
@@ -70,10 +70,10 @@
 
   for (const [what, wrong] of Object.entries({
     'that was not confirmed by a quorum': (id: string) => reply(id, version(2), false),
-    'to another question': () => reply('other', version(2)),
+    'to another read': () => reply('other', version(2)),
     'with an older version': (id: string) => reply(id, version(1)),
   })) {
-    it(`gets a lease from an answer ${what} on that version only`, () => {
+    it(`keeps its version after a reply ${what}; a lease needs a quorum's reply`, () => {
       const client = startClient()
       client.adopt(0, version(2))
       client.onReadReply(1_100, wrong(poll(client, 1_000)))
@@ -83,22 +83,22 @@
     })
   }
 
-  it('gives up a question that is not answered and asks another voter', () => {
+  it('abandons an unanswered read and sends a new one', () => {
     const client = startClient()
     const first = poll(client, 1_000)
     const second = poll(client, 1_000 + attemptMs)
     assert.notEqual(first, second)
     client.onReadReply(1_001 + attemptMs, reply(first, version(2)))
-    assert.equal(client.settings, undefined, 'the answer to the first came too late')
+    assert.equal(client.settings, undefined, 'the late reply to the first read is ignored')
   })
 
-  it('stores a version before it takes force, where there is a disk', () => {
+  it('stores a version before it takes effect if there is a disk', () => {
     const client = startClient(true)
     const [keep] = client.onNotice(1, 'a', version(2))
-    assert.equal(keep?.kind, ClientActionKind.KeepSettings)
+    assert.equal(keep?.kind, ClientActionKind.StoreSettings)
     assert.equal(versionOf(client), undefined)
     assert.deepEqual(client.onNotice(2, 'a', version(2)), [], 'neither stored twice nor confirmed')
-    client.onKept(3, version(2))
+    client.onStored(3, version(2))
     assert.equal(versionOf(client), 2)
   })
 })
--- a/packages/control/src/lib/node/SettingsClient.ts
+++ b/packages/control/src/lib/node/SettingsClient.ts
@@ -6,8 +6,8 @@
 import type { LeaderFinder } from './LeaderFinder'
 
 /**
- * Keeps the newest settings that this instance has seen, and the lease under which it may call
- * them current. It never goes back to an older version.
+ * Holds the newest settings that this instance knows, and the lease during which it may treat them
+ * as current. It never goes back to an older version.
  *
  * @internal
  */
@@ -16,12 +16,12 @@
   readonly #finder: LeaderFinder
   #settings: SettingsState | undefined
   #appliedAt = 0
-  /** Version that is being stored, or was last. */
-  #kept = 0
+  /** Version that was last passed on to be stored; its write may still be in progress. */
+  #versionToStore = 0
   #leaseEndsAt = -Infinity
-  #saidCurrent = false
+  #reportedCurrent = false
   #voters: VotersStatus | undefined
-  #polls = 0
+  #pollCount = 0
   #poll: { readonly requestId: string; readonly to: string; readonly sentAt: number } | undefined
   #pollDueAt = -Infinity
 
@@ -34,7 +34,7 @@
     return this.#settings
   }
 
-  /** The voters, as the leader last told. */
+  /** Status of the voters in the leader's last reply. */
   get voters(): VotersStatus | undefined {
     return this.#voters
   }
@@ -43,29 +43,29 @@
     return this.#settings !== undefined && now < this.#leaseEndsAt
   }
 
-  /** Takes settings that are known to be committed, if they are newer; stores them first. */
+  /** Adopts committed settings if they are newer; with a disk, they are stored first. */
   adopt(now: number, settings: SettingsState | undefined): ClientAction[] {
-    const known = Math.max(this.#settings?.version ?? 0, this.#kept)
+    const known = Math.max(this.#settings?.version ?? 0, this.#versionToStore)
     if (settings === undefined || settings.version <= known) return []
-    if (!this.#options.keepsSettings) return this.onKept(now, settings)
-    this.#kept = settings.version
-    return [{ kind: ClientActionKind.KeepSettings, settings }]
+    if (!this.#options.storesSettings) return this.onStored(now, settings)
+    this.#versionToStore = settings.version
+    return [{ kind: ClientActionKind.StoreSettings, settings }]
   }
 
-  /** The settings take force here, and the leader gets to know since when. */
-  onKept(now: number, settings: SettingsState): ClientAction[] {
+  /** Puts the settings into effect and confirms this to the leader, with the time. */
+  onStored(now: number, settings: SettingsState): ClientAction[] {
     if (settings.version <= (this.#settings?.version ?? 0)) return []
     this.#settings = settings
     this.#appliedAt = now
     const { leader } = this.#finder
-    return [this.#changed(now), ...(leader === '' ? [] : this.#confirm(leader))]
+    return [this.#reportSettings(now), ...(leader === '' ? [] : this.#sendConfirmation(leader))]
   }
 
-  /** The leader asks whether its settings are in force here. */
+  /** Handles the leader's notice of a version, which asks for confirmation that it took effect. */
   onNotice(now: number, from: string, settings: SettingsState | undefined): ClientAction[] {
     const adopted = this.adopt(now, settings)
     const known = this.#settings?.version === settings?.version
-    return adopted.length === 0 && known ? this.#confirm(from) : adopted
+    return adopted.length === 0 && known ? this.#sendConfirmation(from) : adopted
   }
 
   onReadReply(now: number, reply: ReadControlReply): ClientAction[] {
@@ -80,58 +80,58 @@
     this.#voters = reply.voters
     this.#pollDueAt = now + timing.pollMs
     const adopted = this.adopt(now, reply.settings)
-    // The lease counts from the sending, so that it ends no later than the leader reckons.
+    // The lease starts when the read was sent, so it ends no later than the leader assumes.
     if ((reply.settings?.version ?? 0) <= (this.#settings?.version ?? 0)) {
       this.#leaseEndsAt = sentAt + timing.settingsLeaseMs
     }
-    return [...adopted, ...this.#tellCurrent(now)]
+    return [...adopted, ...this.#reportLeaseChange(now)]
   }
 
-  /** A peer has newer settings: they are asked for at once. */
-  notePeer(now: number, instance: string, settingsVersion: number): ClientAction[] {
+  /** Requests the settings from a peer at once if the peer has a newer version. */
+  onPeerSeen(now: number, instance: string, settingsVersion: number): ClientAction[] {
     if (settingsVersion <= (this.#settings?.version ?? 0)) return []
     return this.#sendPoll(now, instance)
   }
 
   tick(now: number): ClientAction[] {
-    const told = this.#tellCurrent(now)
+    const reports = this.#reportLeaseChange(now)
     const { attemptMs } = this.#options.timing
     if (this.#poll !== undefined) {
-      if (now - this.#poll.sentAt < attemptMs) return told
-      this.#finder.noteSilence(this.#poll.to)
+      if (now - this.#poll.sentAt < attemptMs) return reports
+      this.#finder.clearLeader(this.#poll.to)
       this.#poll = undefined
     } else if (now < this.#pollDueAt) {
-      return told
+      return reports
     }
-    const to = this.#finder.target()
-    return to === undefined ? told : [...told, ...this.#sendPoll(now, to)]
+    const to = this.#finder.nextTarget()
+    return to === undefined ? reports : [...reports, ...this.#sendPoll(now, to)]
   }
 
   #sendPoll(now: number, to: string): ClientAction[] {
     const { instance, boot } = this.#options
-    const requestId = `${instance}.${boot}.poll.${++this.#polls}`
+    const requestId = `${instance}.${boot}.poll.${++this.#pollCount}`
     this.#poll = { requestId, to, sentAt: now }
     const value = { requestId, auditFrom: -1 }
     return [{ kind: ClientActionKind.Send, to, envelope: envelope({ case: 'readControl', value }) }]
   }
 
-  #confirm(to: string): ClientAction[] {
+  #sendConfirmation(to: string): ClientAction[] {
     if (this.#settings === undefined) return []
     const value = { version: this.#settings.version, atMs: this.#appliedAt }
     const message = envelope({ case: 'settingsApplied', value })
     return [{ kind: ClientActionKind.Send, to, envelope: message }]
   }
 
-  #tellCurrent(now: number): ClientAction[] {
-    if (this.#settings === undefined || this.isCurrent(now) === this.#saidCurrent) return []
-    return [this.#changed(now)]
+  #reportLeaseChange(now: number): ClientAction[] {
+    if (this.#settings === undefined || this.isCurrent(now) === this.#reportedCurrent) return []
+    return [this.#reportSettings(now)]
   }
 
-  #changed(now: number): ClientAction {
+  #reportSettings(now: number): ClientAction {
     const settings = this.#settings
     if (settings === undefined) throw new Error('no settings are known')
     const current = this.isCurrent(now)
-    this.#saidCurrent = current
+    this.#reportedCurrent = current
     return { kind: ClientActionKind.SettingsChanged, settings, current }
   }
 }
--- a/packages/control/src/lib/node/isVoterMessage.ts
+++ b/packages/control/src/lib/node/isVoterMessage.ts
@@ -1,6 +1,10 @@
 import type { EnvelopeBody } from '@cherryhitch/protocol'
 
-/** True for messages that a voter takes, where there is one; the client part takes the rest. @internal */
+/**
+ * True for messages that the voter handles, if there is one; the client handles all others.
+ *
+ * @internal
+ */
 export function isVoterMessage(body: EnvelopeBody): boolean {
   switch (body.case) {
     case 'proposeReply':
--- a/packages/control/src/lib/node/startControlNode.ts
+++ b/packages/control/src/lib/node/startControlNode.ts
@@ -18,9 +18,9 @@
 import { ControlNode } from './ControlNode'
 import { DEFAULT_TICK_MS } from './ControlNodeOptions'
 import type { ControlNodeOptions } from './ControlNodeOptions'
-import { startPersistPart } from './startPersistPart'
-import { startSettingsKeeper } from './startSettingsKeeper'
-import type { SettingsKeeper } from './startSettingsKeeper'
+import { startPersistWorker } from './startPersistWorker'
+import { startSettingsStore } from './startSettingsStore'
+import type { SettingsStore } from './startSettingsStore'
 
 interface OpenVoter {
   readonly store: VoterStore
@@ -28,10 +28,10 @@
 }
 
 /**
- * Starts an instance's part of the replicated log: a voter or learner where there is a disk, a
- * follower elsewhere. It ends with the scope.
+ * Starts an instance's node of the replicated log: a voter or learner if it has a disk, otherwise
+ * only a client. The node stops when the scope is closed.
  *
- * Fails when the disk fails or what it holds is damaged.
+ * Fails if the disk fails or its contents are damaged.
  *
  * @public
  */
@@ -41,23 +41,24 @@
   return Effect.gen(function* () {
     const { instance, boot, voters } = options
     const timing = { ...defaultClientTiming, ...options.clientTiming }
-    // The parts tell something only once the host has asked them to.
+    // Only called after the mailbox is assigned: the workers report nothing before the host has
+    // given them something to do.
     const tell = (event: NodeEvent): void => {
       mailbox.tell(event)
     }
     const opened = yield* openDisk(options)
-    const voter = opened && new VoterMachine(machineOptions(options), opened.stored)
-    const persist = yield* startPersist(opened, tell)
-    const keeper = yield* startKeeper(options, tell)
-    const keepsSettings = keeper !== undefined
-    const client = new ClientMachine({ instance, boot, voters, timing, keepsSettings })
+    const voter = opened && new VoterMachine(voterOptions(options), opened.stored)
+    const persist = yield* startPersistence(opened, tell)
+    const settingsStore = yield* openSettingsStore(options, tell)
+    const storesSettings = settingsStore !== undefined
+    const client = new ClientMachine({ instance, boot, voters, timing, storesSettings })
     const clock = options.clock ?? systemClock
     const diskId = opened?.stored.diskId
-    const keepSettings = keeper?.keep ?? (() => undefined)
-    const parts = { options, clock, timing, client, voter, diskId, tell, persist, keepSettings }
+    const storeSettings = settingsStore?.save ?? (() => undefined)
+    const parts = { options, clock, timing, client, voter, diskId, tell, persist, storeSettings }
     const host = new ControlHost(parts)
     const mailbox = yield* startHost(host, options)
-    for (const settings of [keeper?.settings, voter?.settings]) {
+    for (const settings of [settingsStore?.settings, voter?.settings]) {
       if (settings === undefined) continue
       tell({ to: NodePart.Client, event: { kind: ClientEventKind.LocalSettings, settings } })
     }
@@ -81,7 +82,7 @@
   })
 }
 
-function machineOptions(options: ControlNodeOptions): VoterMachineOptions {
+function voterOptions(options: ControlNodeOptions): VoterMachineOptions {
   const { instance, boot, voterTiming, voterLimits, state, toleratedLosses } = options
   const seed = options.seed ?? parseInt(hash64(`${instance}.${boot}`).slice(0, 8), 16)
   return {
@@ -94,31 +95,31 @@
   }
 }
 
-function startPersist(
+function startPersistence(
   opened: OpenVoter | undefined,
   tell: (event: NodeEvent) => void,
 ): Effect.Effect<(batch: PersistBatch) => void, never, Scope.Scope> {
   return Effect.gen(function* () {
     if (opened === undefined) return () => undefined
-    const part = yield* startPersistPart(opened.store, (event) => {
+    const worker = yield* startPersistWorker(opened.store, (event) => {
       tell({ to: NodePart.Voter, event })
     })
-    return part.persist
+    return worker.persist
   })
 }
 
-function startKeeper(
+function openSettingsStore(
   { disk, log }: ControlNodeOptions,
   tell: (event: NodeEvent) => void,
-): Effect.Effect<SettingsKeeper | undefined, ControlError, Scope.Scope> {
+): Effect.Effect<SettingsStore | undefined, ControlError, Scope.Scope> {
   if (disk === undefined) return Effect.succeed(undefined)
-  const kept = (settings: SettingsState): void => {
-    tell({ to: NodePart.Client, event: { kind: ClientEventKind.SettingsKept, settings } })
+  const onStored = (settings: SettingsState): void => {
+    tell({ to: NodePart.Client, event: { kind: ClientEventKind.SettingsStored, settings } })
   }
-  return startSettingsKeeper(disk, kept, log)
+  return startSettingsStore(disk, onStored, log)
 }
 
-/** Gives the machines their mailbox and their ticks. */
+/** Starts the host's mailbox and tick timer. */
 function startHost(
   host: ControlHost,
   options: ControlNodeOptions,
@@ -129,7 +130,7 @@
         host.handle(events)
       },
       onDefect: (defect) => {
-        options.log(`ended by a fault of the program: ${String(defect)}`)
+        options.log(`control node stopped by an unexpected error: ${String(defect)}`)
         options.onDefect?.(defect)
       },
     })
--- a/packages/control/src/lib/node/startPersistPart.ts
+++ b/packages/control/src/lib/node/startPersistWorker.ts
@@ -6,19 +6,19 @@
 import { ControlEventKind } from '../voter/ControlEvent'
 import type { ControlEvent } from '../voter/ControlEvent'
 
-/** Owns the voter's files: writes one batch after the other and tells when each is synced. */
-export interface PersistPart {
+/** Writes batches to the voter's files in order, and reports when each is synced or has failed. */
+export interface PersistWorker {
   readonly persist: (batch: PersistBatch) => void
 }
 
-/** Starts the fiber that owns the files. It ends with the scope. @internal */
-export function startPersistPart(
+/** Starts the fiber that writes the files. It stops when the scope is closed. @internal */
+export function startPersistWorker(
   store: VoterStore,
   tell: (event: ControlEvent) => void,
-): Effect.Effect<PersistPart, never, Scope.Scope> {
+): Effect.Effect<PersistWorker, never, Scope.Scope> {
   return Effect.gen(function* () {
     const batches = yield* Queue.unbounded<PersistBatch>()
-    const writeOne = Effect.gen(function* () {
+    const writeNextBatch = Effect.gen(function* () {
       const batch = yield* Queue.take(batches)
       const { id } = batch
       const failed = (err: ControlError): ControlEvent => {
@@ -32,7 +32,7 @@
         tell(event)
       })
     })
-    yield* Effect.forkScoped(Effect.forever(writeOne))
+    yield* Effect.forkScoped(Effect.forever(writeNextBatch))
     return {
       persist: (batch) => {
         Queue.offerUnsafe(batches, batch)
--- a/packages/control/src/lib/node/startSettingsKeeper.ts
+++ b/packages/control/src/lib/node/startSettingsStore.ts
@@ -11,49 +11,49 @@
 const migrations: readonly Migration[] = []
 
 /** @internal */
-export interface SettingsKeeper {
-  /** The newest settings that were ever in force here; undefined on a new disk. */
+export interface SettingsStore {
+  /** The newest settings that were in force here before the start; undefined on a new disk. */
   readonly settings: SettingsState | undefined
-  readonly keep: (settings: SettingsState) => void
+  readonly save: (settings: SettingsState) => void
 }
 
 /**
- * Starts the fiber that owns the file with the newest settings of this instance. The log alone
- * does not tell after a restart which of its entries were committed, so without this file an
- * instance that restarts while it is cut off would go back to its last snapshot.
+ * Starts the fiber that writes the newest settings of this instance to a file. After a restart the
+ * log alone does not show which of its entries were committed, so without this file an instance
+ * that restarts while it is partitioned would go back to the settings of its last snapshot.
  *
- * @param kept - called once the settings are synced, or can't be: an instance with a broken disk
- *   still has to follow the others
+ * @param onStored - called once the settings are synced, and also if the write fails: an instance
+ *   whose disk is broken still has to follow the others
  * @internal
  */
-export function startSettingsKeeper(
+export function startSettingsStore(
   disk: Disk,
-  kept: (settings: SettingsState) => void,
+  onStored: (settings: SettingsState) => void,
   log: (line: string) => void,
-): Effect.Effect<SettingsKeeper, ControlError, Scope.Scope> {
+): Effect.Effect<SettingsStore, ControlError, Scope.Scope> {
   return Effect.gen(function* () {
     const file = new DurableFile(disk, FILE)
     const settings = yield* Effect.mapError(readSettings(file), asControlError)
-    const waiting = yield* Queue.unbounded<SettingsState>()
-    const keepOne = Effect.gen(function* () {
-      // Only the newest: it covers what came in before it.
-      const next = (yield* Queue.takeAll(waiting)).at(-1)
+    const pending = yield* Queue.unbounded<SettingsState>()
+    const writeNewest = Effect.gen(function* () {
+      // Only the newest is written: it supersedes the ones queued before it.
+      const next = (yield* Queue.takeAll(pending)).at(-1)
       if (next === undefined) return
       yield* Effect.match(file.write(encode(next)), {
         onSuccess: () => {
-          kept(next)
+          onStored(next)
         },
         onFailure: (err) => {
-          log(`version ${next.version} is in force but not stored: ${err.message}`)
-          kept(next)
+          log(`version ${next.version} takes effect but could not be stored: ${err.message}`)
+          onStored(next)
         },
       })
     })
-    yield* Effect.forkScoped(Effect.forever(keepOne))
+    yield* Effect.forkScoped(Effect.forever(writeNewest))
     return {
       settings,
-      keep: (next) => {
-        Queue.offerUnsafe(waiting, next)
+      save: (next) => {
+        Queue.offerUnsafe(pending, next)
       },
     }
   })
--- a/packages/control/src/lib/soak/SimulatedCluster.ts
+++ b/packages/control/src/lib/soak/SimulatedCluster.ts
@@ -28,7 +28,7 @@
 import type { VoterLimits } from '../voter/VoterOptions'
 import { SoakChecks } from './SoakChecks'
 
-/** How the links of a run behave. @internal */
+/** Delay and faults of the simulated links. @internal */
 export interface LinkBehaviour {
   readonly maxDelayMs: number
   readonly loss: number
@@ -39,24 +39,24 @@
 export interface SimulationOptions {
   readonly seed: number
   readonly voters: readonly string[]
-  /** Instances with an empty disk, which is not in the first set. */
+  /** Instances with an empty disk that is not in the initial voter set. */
   readonly spares?: readonly string[]
   readonly followers: readonly string[]
   readonly link: LinkBehaviour
   readonly syncMs: number
   readonly limits?: Partial<VoterLimits>
-  /** Voters that may be lost at once. */
+  /** See `VoterMachineOptions`. */
   readonly toleratedLosses?: number
-  /** Broken on purpose, to see that the checks notice. */
+  /** Broken rules, to verify that the checks detect them. */
   readonly rules?: QuorumRules
   readonly makeDisk?: (seed: number) => MemoryDisk
-  /** Instances call settings current for longer than their leader reckons. */
+  /** Settings lease of the instances; a fault if it is longer than the leader assumes. */
   readonly clientLeaseMs?: number
-  /** A wiped disk comes back under its old identity, which the program never does. */
+  /** A wiped disk returns under its old id, which never happens in the real program. */
   readonly wipeKeepsId?: boolean
 }
 
-/** One process of the run, with what outlives it: its disk. */
+/** A simulated process, and its disk, which survives a crash of the process. */
 interface Process {
   readonly instance: string
   disk: MemoryDisk | undefined
@@ -75,9 +75,9 @@
 const CLUSTER_ID = 'soak'
 
 /**
- * The machines of all instances in one process, under a clock of the run's own: messages are
- * delayed, lost and doubled, processes crash, disks fail, all from one seed. The invariants of
- * {@link SoakChecks} are asserted at each step.
+ * Runs the state machines of all instances in one process under a simulated clock. Messages are
+ * delayed, lost and duplicated, processes crash and disks fail, all determined by one seed. The
+ * invariants of {@link SoakChecks} are asserted at each step.
  *
  * @internal
  */
@@ -87,9 +87,9 @@
   readonly checks = new SoakChecks()
   readonly answers = new Map<string, CommandAnswer>()
   readonly lines: string[] = []
-  /** Links that lose everything, as `from>to`. */
+  /** Links that drop all messages, as `from>to`. */
   readonly #cut = new Set<string>()
-  /** The order of ties is that with which the fixed seeds were found. */
+  /** The seeds that the tests use were found with this order of simultaneous events. */
   readonly #agenda = new Agenda({ ties: TieOrder.LastAsked })
   readonly #options: SimulationOptions
   readonly #processes = new Map<string, Process>()
@@ -135,7 +135,7 @@
     return this.#get(instance).up
   }
 
-  /** The instance that leads in the highest term. */
+  /** The leader in the highest term. */
   leader(): string | undefined {
     const leaders = [...this.#processes.values()].filter(({ up, voter }) => {
       return up && voter?.role === VoterRole.Leader
@@ -154,7 +154,7 @@
     const { voters, seed, limits, rules, toleratedLosses } = this.#options
     const settingsLeaseMs = this.#options.clientLeaseMs ?? defaultClientTiming.settingsLeaseMs
     const timing = { ...defaultClientTiming, settingsLeaseMs }
-    process.client = new ClientMachine({ instance, boot, voters, timing, keepsSettings: false })
+    process.client = new ClientMachine({ instance, boot, voters, timing, storesSettings: false })
     if (process.disk !== undefined) {
       const makeId = (): string => `disk${++this.#wipes}`
       const opened = Effect.runSync(openVoter(process.disk, instance, makeId))
@@ -175,7 +175,7 @@
     })
   }
 
-  /** The process dies; a write that runs is left at any point of it. */
+  /** Crashes the process; a write in progress is interrupted at a random point. */
   crash(instance: string): void {
     const process = this.#get(instance)
     if (!process.up) return
@@ -188,7 +188,7 @@
     disk?.crash()
   }
 
-  /** The process dies and its disk is replaced by an empty one. */
+  /** Crashes the process and replaces its disk by an empty one. */
   wipe(instance: string): void {
     this.crash(instance)
     const process = this.#get(instance)
@@ -200,13 +200,13 @@
     Effect.runSync(store.initialize(vote, genesisSnapshot(CLUSTER_ID, this.#options.voters)))
   }
 
-  /** What `control init` does on the empty disk of a first voter. */
+  /** Initializes the empty disk of an initial voter like `control init`. */
   initialize(instance: string): void {
     const { voters } = this.#options
     Effect.runSync(initVoters(this.disk(instance), { instance, voters, clusterId: CLUSTER_ID }))
   }
 
-  /** The files of a disk as they are synced now. */
+  /** Copies the current files of a disk to a new disk, synced. */
   copyDisk(instance: string): MemoryDisk {
     const from = this.disk(instance)
     const to = this.#makeDisk()
@@ -223,7 +223,7 @@
     this.#get(instance).disk = disk
   }
 
-  /** Cuts an instance off from all others, in one direction or both, or joins it again. */
+  /** Cuts or restores the links of an instance to all others, separately for each direction. */
   cut(instance: string, how: { readonly from: boolean; readonly to: boolean }): void {
     for (const other of this.instances) {
       if (other === instance) continue
@@ -236,7 +236,7 @@
     this.#tellClient(instance, { kind: ClientEventKind.Propose, command, timeoutMs })
   }
 
-  /** Reads through the quorum, with the whole audit record; undefined when no answer comes. */
+  /** Reads through the quorum, with the whole audit log; undefined if the read is not confirmed. */
   read(instance: string, limitMs: number): ReadControlReply | undefined {
     const audit: AuditRecord[] = []
     for (;;) {
@@ -251,12 +251,12 @@
     }
   }
 
-  /** Lets time pass. */
+  /** Advances the simulated clock. */
   run(ms: number): void {
     this.#agenda.run(ms)
   }
 
-  /** Lets time pass until the condition holds; tells whether it came to hold. */
+  /** Advances the clock until the condition holds; false if it does not within the limit. */
   runUntil(condition: () => boolean, limitMs: number): boolean {
     const end = this.now + limitMs
     while (!condition() && this.now < end) this.run(TICK_MS)
@@ -267,7 +267,7 @@
     const { voters, spares = [] } = this.#options
     const disk = [...voters, ...spares].includes(instance) ? this.#makeDisk() : undefined
     const timing = defaultClientTiming
-    const client = new ClientMachine({ instance, boot: 0, voters, timing, keepsSettings: false })
+    const client = new ClientMachine({ instance, boot: 0, voters, timing, storesSettings: false })
     const parts = { client, voter: undefined, store: undefined, writing: undefined }
     const process = { instance, disk, boot: 0, up: false, diskId: '', version: 0, ...parts }
     this.#processes.set(instance, process)
@@ -281,7 +281,7 @@
 
   #get(instance: string): Process {
     const process = this.#processes.get(instance)
-    if (process === undefined) throw new Error(`there is no instance ${instance}`)
+    if (process === undefined) throw new Error(`unknown instance ${instance}`)
     return process
   }
 
@@ -309,12 +309,12 @@
     for (const action of actions) {
       if (action.kind === ControlActionKind.Send) this.#send(process, action.to, action.envelope)
       if (action.kind === ControlActionKind.Persist) this.#persist(process, action.batch)
-      if (action.kind === ControlActionKind.Applied) this.checks.noteApplied(action)
+      if (action.kind === ControlActionKind.Applied) this.checks.recordApplied(action)
       if (action.kind === ControlActionKind.Log) {
         this.lines.push(`${this.now} ${process.instance} ${action.line}`)
       }
       if (action.kind === ControlActionKind.RoleChanged && action.role === VoterRole.Leader) {
-        this.checks.noteLeader(action.term, process.diskId)
+        this.checks.recordLeader(action.term, process.diskId)
       }
       if (action.kind === ControlActionKind.SettingsChanged) {
         const { settings } = action
@@ -328,12 +328,12 @@
       if (action.kind === ClientActionKind.Send) this.#send(process, action.to, action.envelope)
       if (action.kind === ClientActionKind.ReadAnswered) this.#lastRead = action.reply
       if (action.kind === ClientActionKind.Answered) {
-        this.checks.noteAnswer(action.answer)
+        this.checks.recordAnswer(action.answer)
         this.answers.set(action.answer.commandId, action.answer)
       }
       if (action.kind === ClientActionKind.SettingsChanged) {
         const { settings, current } = action
-        this.checks.noteSettings(process.instance, 0, settings, current)
+        this.checks.recordSettings(process.instance, 0, settings, current)
         process.version = settings.version
       }
     }
@@ -357,14 +357,14 @@
   }
 
   #send(from: Process, to: string, envelope: Envelope): void {
-    // Encoded at once, as on a real link: what the sender changes later is not in the message.
+    // Encoded at once, as on a real link, so that later changes by the sender are not delivered.
     const bytes = toBinary(EnvelopeSchema, envelope)
-    const own = from.instance === to
-    const copies = !own && this.random.chance(this.link.duplication) ? 2 : 1
+    const isLocal = from.instance === to
+    const copies = !isLocal && this.random.chance(this.link.duplication) ? 2 : 1
     const { boot } = from
     for (let copy = 0; copy < copies; copy++) {
-      if (!own && this.random.chance(this.link.loss)) continue
-      const delay = own ? 0 : this.random.between(0.2, this.link.maxDelayMs)
+      if (!isLocal && this.random.chance(this.link.loss)) continue
+      const delay = isLocal ? 0 : this.random.between(0.2, this.link.maxDelayMs)
       this.#agenda.after(delay, () => {
         if (!this.#cut.has(`${from.instance}>${to}`)) this.#deliver(from.instance, boot, to, bytes)
       })
@@ -375,7 +375,7 @@
     const process = this.#processes.get(to)
     const { body } = fromBinary(EnvelopeSchema, bytes)
     if (process?.up !== true || body.case === undefined) return
-    // Links drop what an earlier boot of the sender sent.
+    // Links drop messages from an earlier boot of the sender.
     if (this.#get(from).boot !== boot) return
     if (process.voter !== undefined && isVoterMessage(body)) {
       this.#tellVoter(process, { kind: ControlEventKind.Received, from, boot, body })
--- a/packages/control/src/lib/soak/brokenMechanisms.ts
+++ b/packages/control/src/lib/soak/brokenMechanisms.ts
@@ -4,8 +4,8 @@
 import { QuorumRules, StrictQuorumRules } from '../voter/QuorumRules'
 import type { SimulationOptions } from './SimulatedCluster'
 
-/** Confirms appended entries without a sync; whole files that are replaced are synced. */
-class LyingDisk extends MemoryDisk {
+/** Reports appended entries as synced without a sync; files that are replaced whole are synced. */
+class UnsyncedAppendDisk extends MemoryDisk {
   readonly #appended = new Set<string>()
 
   override append(name: string, bytes: Uint8Array): Effect.Effect<void, StorageError> {
@@ -18,7 +18,7 @@
   }
 }
 
-class LearnersCount extends QuorumRules {
+class LearnersVoteRules extends QuorumRules {
   override hasVote(): boolean {
     return true
   }
@@ -28,24 +28,26 @@
   }
 }
 
-class OldTermsCommit extends StrictQuorumRules {
+class OldTermsCommitRules extends StrictQuorumRules {
   override mayCommit(): boolean {
     return true
   }
 }
 
 /**
- * Random runs meet the order of crashes that breaks this one too seldom; a run that is made for
- * it notices.
+ * Commits entries of earlier terms by counting replicas. Random runs rarely produce the order of
+ * crashes in which this loses entries, so a test creates that order explicitly.
  *
  * @internal
  */
-export const oldTermsCommit: QuorumRules = new OldTermsCommit()
+export const oldTermsCommitRules: QuorumRules = new OldTermsCommitRules()
 
-/** The mechanisms that a random run takes away, to see that its checks notice. @internal */
+/** Faults that random runs inject, to verify that their checks detect them. @internal */
 export const brokenMechanisms: Readonly<Record<string, Partial<SimulationOptions>>> = {
-  'a disk confirms without a sync': { makeDisk: (seed) => new LyingDisk({ seed }) },
-  'learners count': { rules: new LearnersCount() },
+  'a disk reports appends as synced without a sync': {
+    makeDisk: (seed) => new UnsyncedAppendDisk({ seed }),
+  },
+  'learners have votes': { rules: new LearnersVoteRules() },
   'a wiped disk votes under its old id': { wipeKeepsId: true },
-  'settings leases outlast what the leader reckons': { clientLeaseMs: 12_000 },
+  'settings leases last longer than the leader assumes': { clientLeaseMs: 12_000 },
 }
--- a/packages/control/src/lib/soak/runControlSoak.ts
+++ b/packages/control/src/lib/soak/runControlSoak.ts
@@ -10,23 +10,23 @@
 import { PresetName } from '../state/presets'
 import { SimulatedCluster } from './SimulatedCluster'
 import type { SimulationOptions } from './SimulatedCluster'
-import { assertThat } from './SoakChecks'
+import { assertInvariant } from './SoakChecks'
 
 /** @public */
 export interface ControlSoakOptions {
   readonly seed: number
-  /** Random operations and faults; each takes about half a second of the run's own clock. */
+  /** Number of random operations and faults; each takes about half a second of simulated time. */
   readonly steps: number
-  /** Disks that may be lost at once, 1 or 2. */
+  /** Number of disks that may be lost at once, 1 or 2. */
   readonly toleratedLosses?: number
-  /** Broken on purpose, to see that the checks notice. @internal */
+  /** Injected faults of the mechanism, to verify that the checks detect them. @internal */
   readonly broken?: Partial<SimulationOptions>
 }
 
 /** @public */
 export const defaultControlSoakOptions = { toleratedLosses: 1 } as const
 
-/** What a run did; a breach of an invariant throws instead. @public */
+/** Statistics of a run; a violated invariant throws instead. @public */
 export interface ControlSoakReport {
   readonly simulatedMs: number
   readonly entries: number
@@ -40,24 +40,24 @@
 const voters = ['v1', 'v2', 'v3']
 const followers = ['f1', 'f2']
 /**
- * Those that begin with an empty disk: learners, and voters once they take the place of a lost one or
- * the set grows. By the losses that the set has to bear.
+ * Instances that start with an empty disk, by the number of losses that the voter set has to
+ * tolerate. They join as learners and become voters when the set grows or a voter is lost.
  */
 const sparesFor: Readonly<Record<number, readonly string[]>> = {
   1: ['v4'],
   2: ['v4', 'v5', 'v6'],
 }
-const calmLink = { maxDelayMs: 3, loss: 0, duplication: 0 }
-const roughLink = { maxDelayMs: 120, loss: 0.08, duplication: 0.08 }
+const reliableLink = { maxDelayMs: 3, loss: 0, duplication: 0 }
+const unreliableLink = { maxDelayMs: 120, loss: 0.08, duplication: 0.08 }
 const diskFaults = [DiskOperation.Sync, DiskOperation.Rename, DiskOperation.Append]
 const KEYS = 12
-const HEAL_LIMIT_MS = 60_000
+const RECOVERY_TIMEOUT_MS = 60_000
 
 /**
- * Runs the machines of three voters, spare ones and two followers under random commands and faults, and
- * asserts the invariants at each step. The same seed gives the same run.
+ * Runs the state machines of three voters, spares and two followers under random commands and
+ * faults, and asserts the invariants at each step. The same seed gives the same run.
  *
- * @throws Error when an invariant is broken, or nothing commits once all faults are over
+ * @throws Error if an invariant is violated, or if nothing commits after all faults have ended
  * @public
  */
 export function runControlSoak(options: ControlSoakOptions): ControlSoakReport {
@@ -68,16 +68,16 @@
     voters,
     spares,
     followers,
-    link: roughLink,
+    link: unreliableLink,
     syncMs: 8,
     limits: { entriesPerMessage: 1, snapshotEvery: 40, entriesKept: 10 },
     toleratedLosses,
     ...broken,
   })
   const report = new SoakRun(cluster, [...voters, ...spares], toleratedLosses).run(steps)
-  // No disk of a run loses what it synced, unless the run is broken on purpose.
+  // No disk loses synced data unless a fault of the mechanism is injected.
   const distrusted = cluster.lines.find((line) => line.includes('not counted'))
-  assertThat(broken !== undefined || distrusted === undefined, distrusted ?? '')
+  assertInvariant(broken !== undefined || distrusted === undefined, distrusted ?? '')
   return report
 }
 
@@ -88,16 +88,16 @@
   #wipes = 0
   #diskFaults = 0
   /**
-   * The first start is over once every voter has synced an entry. A voter that never did refuses
-   * its vote to those who have (see `VoterCore.isFresh`), so no disk may be lost before.
+   * True once every member has synced an entry. Until then a voter that has synced none refuses its
+   * vote to voters that have (see `VoterCore.isFresh`), so no disk may be lost.
    */
   #hasStarted = false
-  /** Disks that were wiped and for which the set is not whole again. */
+  /** Ids of wiped disks for which the voter set has not been completed again. */
   readonly #lostDisks = new Set<string>()
 
   constructor(
     cluster: SimulatedCluster,
-    private readonly hosts: readonly string[],
+    private readonly diskInstances: readonly string[],
     private readonly toleratedLosses: number,
   ) {
     this.#cluster = cluster
@@ -106,20 +106,20 @@
   run(steps: number): ControlSoakReport {
     const { random } = this.#cluster
     for (let step = 0; step < steps; step++) {
-      this.#operate()
-      if (random.chance(0.35)) this.#disturb()
+      this.#proposeCommand()
+      if (random.chance(0.35)) this.#injectFault()
       this.#repair()
       this.#cluster.run(random.between(20, 900))
     }
-    this.#heal()
+    this.#recover()
     return this.#report()
   }
 
-  #operate(): void {
+  #proposeCommand(): void {
     const { random, instances } = this.#cluster
     const instance = random.pick(instances)
-    const old = this.#commands.at(-1)
-    const resend = old !== undefined && random.chance(0.25)
+    const newest = this.#commands.at(-1)
+    const resend = newest !== undefined && random.chance(0.25)
     const command = resend ? random.pick(this.#commands.slice(-5)) : this.#newCommand(instance)
     this.#cluster.propose(instance, command)
   }
@@ -154,16 +154,16 @@
     return command
   }
 
-  #disturb(): void {
+  #injectFault(): void {
     const { random } = this.#cluster
-    const instance = random.pick(this.hosts)
+    const instance = random.pick(this.diskInstances)
     const fault = Math.floor(random.between(0, 9))
     if (fault === 0) this.#crash(instance)
     if (fault === 1) this.#wipe(instance)
     if (fault === 2) this.#cluster.cut(instance, { from: true, to: random.chance(0.6) })
     if (fault === 3) this.#cluster.cut(instance, { from: false, to: false })
-    if (fault === 4) this.#cluster.link = random.chance(0.5) ? roughLink : calmLink
-    if (fault >= 6) this.#crashYoungLeader(instance)
+    if (fault === 4) this.#cluster.link = random.chance(0.5) ? unreliableLink : reliableLink
+    if (fault >= 6) this.#crashNewLeader(instance)
     if (fault === 5 && this.#cluster.isUp(instance)) {
       this.#diskFaults++
       this.#cluster.disk(instance).fail({ operation: random.pick(diskFaults) })
@@ -175,18 +175,22 @@
     this.#cluster.crash(instance)
   }
 
-  /** Leaders that die soon after their election leave entries of many terms behind. */
-  #crashYoungLeader(otherwise: string): void {
+  /** Leaders that crash soon after their election leave entries of many terms behind. */
+  #crashNewLeader(otherwise: string): void {
     this.#cluster.runUntil(() => this.#cluster.leader() !== undefined, 3_000)
     this.#cluster.run(this.#cluster.random.between(1, 200))
     this.#crash(this.#cluster.leader() ?? otherwise)
   }
 
-  /** As many disks as the set bears: the next as soon as it is whole again, not a moment later. */
+  /**
+   * Wipes at most as many disks at once as the set tolerates. Further ones may be wiped as soon as
+   * the set is complete again.
+   */
   #wipe(instance: string): void {
     if (!this.#hasStarted) return
     const { random } = this.#cluster
-    const atOnce = this.toleratedLosses > 1 && random.chance(0.5) ? [random.pick(this.hosts)] : []
+    const atOnce =
+      this.toleratedLosses > 1 && random.chance(0.5) ? [random.pick(this.diskInstances)] : []
     for (const lost of [instance, ...atOnce]) {
       if (this.#lostDisks.size >= this.toleratedLosses) return
       this.#wipes++
@@ -196,27 +200,27 @@
     }
   }
 
-  /** What operators and the platform do: restart processes, add new disks. */
+  /** Restarts processes and adds new disks, as operators and the platform do. */
   #repair(): void {
-    for (const instance of this.hosts) this.#restart(instance)
+    for (const instance of this.diskInstances) this.#restart(instance)
     const leader = this.#cluster.leader()
     const voter = this.#cluster.voter(leader ?? 'v1')
     const status = voter?.status(this.#cluster.now)
     if (leader === undefined || voter === undefined || status === undefined) return
     const { members } = status
-    const isWhole = this.#isWhole(members)
-    this.#hasStarted ||= isWhole && members.every(({ matchIndex }) => matchIndex > 0)
+    const isComplete = this.#isComplete(members)
+    this.#hasStarted ||= isComplete && members.every(({ matchIndex }) => matchIndex > 0)
     const isGrowing = this.toleratedLosses > 1 && !this.#hasStarted
     if (!isGrowing && this.#lostDisks.size === 0) return
-    for (const instance of this.hosts) this.#addDisk(leader, instance, members)
-    if (isWhole && status.commitIndex === voter.lastIndex) this.#lostDisks.clear()
+    for (const instance of this.diskInstances) this.#addDisk(leader, instance, members)
+    if (isComplete && status.commitIndex === voter.lastIndex) this.#lostDisks.clear()
   }
 
-  /** As many voters as it takes to bear the losses, and no lost disk among the members. */
-  #isWhole(members: readonly VoterStatus[]): boolean {
+  /** True if the set has enough voters to tolerate the losses, and no lost disk is a member. */
+  #isComplete(members: readonly VoterStatus[]): boolean {
     const voting = members.filter(({ learner }) => !learner)
-    const isGone = !members.some(({ diskId }) => this.#lostDisks.has(diskId))
-    return isGone && voting.length > 2 * this.toleratedLosses
+    const areLostRemoved = !members.some(({ diskId }) => this.#lostDisks.has(diskId))
+    return areLostRemoved && voting.length > 2 * this.toleratedLosses
   }
 
   #restart(instance: string): void {
@@ -235,26 +239,26 @@
     this.#cluster.propose(leader, create(CommandSchema, { commandId, change }))
   }
 
-  /** All faults end: then something must commit, and everything must be there. */
-  #heal(): void {
-    this.#cluster.link = calmLink
-    for (const instance of this.hosts) {
+  /** Ends all faults; a command must then commit, and no committed entry may be missing. */
+  #recover(): void {
+    this.#cluster.link = reliableLink
+    for (const instance of this.diskInstances) {
       this.#cluster.cut(instance, { from: false, to: false })
-      // Also clears the faults that are still planned for its disk.
+      // A crash also clears the faults that are still scheduled for the disk.
       this.#cluster.crash(instance)
       this.#cluster.start(instance)
     }
     const commandId = 'last'
     const change = { case: 'noop' as const, value: {} }
     const last = create(CommandSchema, { commandId, change })
-    this.#cluster.propose('f1', last, HEAL_LIMIT_MS)
+    this.#cluster.propose('f1', last, RECOVERY_TIMEOUT_MS)
     const committed = (): boolean => this.#cluster.answers.get(commandId) !== undefined
-    const healed = this.#cluster.runUntil(committed, HEAL_LIMIT_MS)
-    assertThat(healed, 'nothing was committed after all faults were over')
+    const recovered = this.#cluster.runUntil(committed, RECOVERY_TIMEOUT_MS)
+    assertInvariant(recovered, 'nothing was committed after all faults had ended')
     const { checks } = this.#cluster
     const atLeast = checks.highestIndex
-    const read = this.#cluster.read('f2', HEAL_LIMIT_MS)
-    assertThat(read?.settings !== undefined, 'the last read was not answered')
+    const read = this.#cluster.read('f2', RECOVERY_TIMEOUT_MS)
+    assertInvariant(read?.settings !== undefined, 'the last read was not answered')
     const { commitIndex = 0 } = read.voters ?? {}
     checks.checkEnd(atLeast, commitIndex, read.audit, read.settings)
   }
@@ -265,7 +269,7 @@
       simulatedMs: cluster.now,
       entries: cluster.checks.highestIndex,
       answered: cluster.answers.size,
-      terms: Math.max(...this.hosts.map((instance) => cluster.voter(instance)?.term ?? 0)),
+      terms: Math.max(...this.diskInstances.map((instance) => cluster.voter(instance)?.term ?? 0)),
       crashes: this.#crashes,
       wipes: this.#wipes,
       diskFaults: this.#diskFaults,
--- a/packages/control/src/lib/testing/DirectVoter.ts
+++ b/packages/control/src/lib/testing/DirectVoter.ts
@@ -8,7 +8,10 @@
 
 const STEP_MS = 50
 
-/** Voter `a` of three, told event by event what arrives; its own writes are synced at once. */
+/**
+ * Voter `a` of three, for tests that pass in each message and decide its order. Its own writes are
+ * synced at once.
+ */
 export class DirectVoter {
   now = 0
   readonly lines: string[] = []
@@ -22,8 +25,8 @@
   }
 
   receive(from: string, body: Parameters<typeof envelope>[0]): void {
-    const made = envelope(body).body as EnvelopeBody
-    const event = { kind: ControlEventKind.Received as const, from, boot: 1, body: made }
+    const received = envelope(body).body as EnvelopeBody
+    const event = { kind: ControlEventKind.Received as const, from, boot: 1, body: received }
     this.#perform(this.machine.step(this.now, event))
   }
 
@@ -32,7 +35,7 @@
     for (; this.now < end; this.now += STEP_MS) this.#perform(this.machine.tick(this.now))
   }
 
-  /** Wins an election with the vote of `b`. */
+  /** Makes the voter win an election with the vote of `b`. */
   lead(): void {
     while (this.machine.role !== VoterRole.Leader) {
       this.run(STEP_MS)
@@ -43,7 +46,7 @@
     }
   }
 
-  /** The last message to `b` with entries. */
+  /** Round and last log index of the newest append message to an instance. */
   lastAppendTo(instance: string): { readonly round: number; readonly lastIndex: number } {
     for (const { to, envelope: message } of [...this.sent].reverse()) {
       const { body } = message
@@ -51,7 +54,7 @@
       const { round, previousIndex, entries } = body.value
       return { round, lastIndex: previousIndex + entries.length }
     }
-    throw new Error(`nothing was sent to ${instance}`)
+    throw new Error(`no entries were sent to ${instance}`)
   }
 
   appendReply(instance: string, accepted: boolean, matchIndex: number, round: number): void {
--- a/packages/control/src/lib/testing/commands.ts
+++ b/packages/control/src/lib/testing/commands.ts
@@ -13,12 +13,12 @@
   return create(CommandSchema, { commandId, change: { case: 'setPreset', value } })
 }
 
-/** A claim of a key by a job. */
+/** A job's claim of a submission key. */
 export function keyClaim(submissionKey: string, jobId: string, contentHash = 'hash'): KeyClaim {
   return create(KeyClaimSchema, { caller: 'desk', submissionKey, jobId, contentHash, atMs: 1 })
 }
 
-/** The command that a coordinator's batch of claims makes. */
+/** A command with a batch of claims, as a coordinator proposes it. */
 export function claimKeys(commandId: string, claims: readonly KeyClaim[]): Command {
   return create(CommandSchema, {
     commandId,
@@ -26,7 +26,7 @@
   })
 }
 
-/** The end of a claimed job; without an answer it releases the key. */
+/** The end of a claim; without an answer it releases the key. */
 export function claimEnd(submissionKey: string, jobId: string, answer = ''): ClaimEnd {
   return create(ClaimEndSchema, {
     caller: 'desk',
@@ -37,7 +37,7 @@
   })
 }
 
-/** An operator's change of the voters. */
+/** An operator's membership change. */
 export function changeVoters(
   commandId: string,
   kind: VoterChangeKind,
--- a/packages/control/src/lib/testing/nodeCluster.ts
+++ b/packages/control/src/lib/testing/nodeCluster.ts
@@ -7,7 +7,7 @@
 import type { ControlNodeOptions } from '../node/ControlNodeOptions'
 import { startControlNode } from '../node/startControlNode'
 
-/** Short times, so that tests and benches need not wait. */
+/** Short intervals and timeouts, so that tests run quickly. */
 export const quickTiming = {
   voterTiming: {
     heartbeatMs: 20,
@@ -36,15 +36,15 @@
   readonly boot: number
 }
 
-/** Real nodes over in-memory links, for tests and benches. */
+/** Control nodes connected by in-memory links, for tests and benchmarks. */
 export class NodeCluster {
   readonly disks = new Map<string, MemoryDisk>()
   readonly lines: string[] = []
-  /** Bytes and messages that crossed a link. */
+  /** Bytes and messages that were sent, also over cut links; bytes only if messages are encoded. */
   sentBytes = 0
   sentMessages = 0
-  /** Links that lose everything, as `from>to`. */
-  readonly cut = new Set<string>()
+  /** Links that drop all messages, as `from>to`. */
+  readonly cutLinks = new Set<string>()
   readonly #nodes = new Map<string, RunningNode>()
   readonly #voters: readonly string[]
   readonly #options: Partial<ControlNodeOptions>
@@ -60,7 +60,7 @@
     this.#encodes = encodes
   }
 
-  /** Starts a node; a voter of the settings gets a disk, the others follow without one. */
+  /** Starts a node; the configured voters get a disk, the others follow without one. */
   async start(instance: string, options: Partial<ControlNodeOptions> = {}): Promise<ControlNode> {
     const boot = (this.#nodes.get(instance)?.boot ?? 0) + 1
     const disk = this.#diskOf(instance)
@@ -85,7 +85,7 @@
     return node
   }
 
-  /** Ends a process; its disk keeps what was synced. */
+  /** Stops a node; its disk keeps only what was synced. */
   async stop(instance: string): Promise<void> {
     const running = this.#nodes.get(instance)
     if (running === undefined) return
@@ -99,19 +99,19 @@
 
   node(instance: string): ControlNode {
     const running = this.#nodes.get(instance)
-    if (running === undefined) throw new Error(`${instance} does not run`)
+    if (running === undefined) throw new Error(`${instance} was not started`)
     return running.node
   }
 
-  /** Cuts every link from one of the first to one of the second, or joins them again. */
+  /** Cuts or restores all links from the first instances to the second ones. */
   setCut(from: readonly string[], to: readonly string[], cut: boolean): void {
     for (const link of from.flatMap((one) => to.map((other) => `${one}>${other}`))) {
-      if (cut) this.cut.add(link)
-      else this.cut.delete(link)
+      if (cut) this.cutLinks.add(link)
+      else this.cutLinks.delete(link)
     }
   }
 
-  /** The same in both directions. */
+  /** Cuts or restores all links between two groups of instances, in both directions. */
   setCutBothWays(some: readonly string[], others: readonly string[], cut: boolean): void {
     this.setCut(some, others, cut)
     this.setCut(others, some, cut)
@@ -132,17 +132,17 @@
       carried = fromBinary(EnvelopeSchema, bytes)
     }
     this.sentMessages++
-    if (this.cut.has(`${from}>${to}`)) return
+    if (this.cutLinks.has(`${from}>${to}`)) return
     const { case: name } = carried.body
     if (name !== undefined) this.#nodes.get(to)?.node.receive(from, boot, carried.body)
   }
 }
 
-/** Waits until the condition holds; fails after a limit that no healthy run comes near. */
-export async function until(condition: () => boolean, what: string): Promise<void> {
+/** Waits until the condition holds; fails after a limit far above the time that it should take. */
+export async function waitUntil(condition: () => boolean, what: string): Promise<void> {
   const limit = Date.now() + 10_000
   while (!condition()) {
-    if (Date.now() > limit) throw new Error(`waited too long until ${what}`)
+    if (Date.now() > limit) throw new Error(`timed out waiting until ${what}`)
     await new Promise((resolve) => setTimeout(resolve, 5))
   }
 }
--- a/packages/control/src/lib/testing/simulation.ts
+++ b/packages/control/src/lib/testing/simulation.ts
@@ -5,9 +5,9 @@
 import type { SimulationOptions } from '../soak/SimulatedCluster'
 import { changeVoters } from './commands'
 
-const PATIENCE_MS = 30_000
+const SIMULATED_TIMEOUT_MS = 30_000
 
-/** Three voters, a spare disk and a follower, under the clock of the test. */
+/** A simulated cluster with three voters, the given spare disks and a follower. */
 export function simulate(options: Partial<SimulationOptions> = {}): SimulatedCluster {
   const cluster = new SimulatedCluster({
     seed: 7,
@@ -19,25 +19,26 @@
     ...options,
   })
   awaitLeader(cluster)
-  // By then every instance knows the leader and the settings.
+  // After this time every instance knows the leader and the settings.
   cluster.run(2_000)
   return cluster
 }
 
-/** The instance that leads, once there is one that has committed in its term. */
+/** Waits for a leader that has committed its whole log, other than `other` if that is given. */
 export function awaitLeader(cluster: SimulatedCluster, other?: string): string {
   const found = cluster.runUntil(() => {
     const leader = cluster.leader()
     if (leader === undefined || leader === other) return false
     const { commitIndex = 0, lastIndex = 1 } = cluster.voter(leader) ?? {}
     return commitIndex === lastIndex
-  }, PATIENCE_MS)
+  }, SIMULATED_TIMEOUT_MS)
   const leader = cluster.leader()
-  if (!found || leader === undefined) throw new Error('no leader was found')
+  if (!found || leader === undefined)
+    throw new Error('no leader with a fully committed log within the time limit')
   return leader
 }
 
-/** Proposes and waits for the answer. */
+/** Proposes a command and waits for the answer. */
 export function decide(
   cluster: SimulatedCluster,
   instance: string,
@@ -45,25 +46,29 @@
 ): CommandAnswer {
   cluster.answers.delete(command.commandId)
   cluster.propose(instance, command)
-  const answered = cluster.runUntil(() => cluster.answers.has(command.commandId), PATIENCE_MS)
+  const answered = cluster.runUntil(
+    () => cluster.answers.has(command.commandId),
+    SIMULATED_TIMEOUT_MS,
+  )
   const answer = cluster.answers.get(command.commandId)
-  if (!answered || answer === undefined) throw new Error('no answer came')
+  if (!answered || answer === undefined)
+    throw new Error('the command was not answered within the time limit')
   return answer
 }
 
-/** The names of results as tests read them. */
+/** Name of an answer's result; `none` without an answer. */
 export function resultOf(answer: CommandAnswer | undefined): string {
   return answer === undefined ? 'none' : CommandResult[answer.result]
 }
 
-/** The two voters that do not lead. */
+/** The two of the three voters that do not lead. */
 export function othersThan(leader: string): [string, string] {
   const [first, second] = ['a', 'b', 'c'].filter((instance) => instance !== leader)
   if (first === undefined || second === undefined) throw new Error('three voters are needed')
   return [first, second]
 }
 
-/** Adds the instance's disk as a learner; answers with the disk's id. */
+/** Adds the instance's disk as a learner; returns the id of the disk. */
 export function addLearner(cluster: SimulatedCluster, instance: string): string {
   const diskId = cluster.diskId(instance)
   const command = changeVoters(`add ${diskId}`, VoterChangeKind.ADD_LEARNER, instance, diskId)
@@ -71,7 +76,7 @@
   return diskId
 }
 
-/** Disks of the members as the leader knows them; those of learners in brackets. */
+/** Disk ids of the members according to the leader, sorted; learners in parentheses. */
 export function votersOf(cluster: SimulatedCluster): string[] {
   const leader = awaitLeader(cluster)
   const members = cluster.voter(leader)?.status(cluster.now)?.members ?? []
