--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The messages between instances and the stored records.
+ * Messages between instances, and records that instances store.
  *
- * The proto files under `proto/` are the source; `npm run generate` writes `src/lib/gen`.
+ * They are defined in the proto files under `proto/`; `npm run generate` generates `src/lib/gen`.
  *
  * @packageDocumentation
  */
--- a/packages/protocol/src/lib/text/messages.ts
+++ b/packages/protocol/src/lib/text/messages.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the messages of dispatching that are sent thousands of times a second, each as an object of
- * one shape. The library's `create` works by reflection, which is too dear here.
+ * Constructors of the dispatch messages that are sent thousands of times a second. Each returns an
+ * object literal of a fixed shape: the library's `create` uses reflection, which is too slow here.
  */
 import type {
   EndpointAnswer,
@@ -20,7 +20,7 @@
   SubmitJob,
 } from '../gen/cherryhitch/v1/dispatch_pb'
 
-/** The fields of a message, all of them given. */
+/** All fields of a message. */
 type Fields<M> = Omit<M, '$typeName' | '$unknown'>
 
 /** @public */
@@ -30,7 +30,7 @@
   return { $typeName, id, endpoint, address, fencingToken, timeoutMs, order }
 }
 
-/** @param leaseEndsAt - undefined leaves the lease as it is @public */
+/** @param leaseEndsAt - undefined leaves the lease unchanged @public */
 export function makeHoldOrder(
   leaseEndsAt: number | undefined,
   acknowledgedEnd: number,
@@ -102,9 +102,9 @@
 export function makeSubmitJob(fields: Fields<SubmitJob>): SubmitJob {
   const { requestId, host, path, spec, remainingMs, waitedMs, earlierAttempts } = fields
   const $typeName = 'cherryhitch.v1.SubmitJob'
-  const more = { remainingMs, waitedMs, earlierAttempts }
-  if (spec === undefined) return { $typeName, requestId, host, path, ...more }
-  return { $typeName, requestId, host, path, spec, ...more }
+  const timing = { remainingMs, waitedMs, earlierAttempts }
+  if (spec === undefined) return { $typeName, requestId, host, path, ...timing }
+  return { $typeName, requestId, host, path, spec, ...timing }
 }
 
 /** @public */
@@ -116,8 +116,8 @@
 export function makeJobStep(fields: Fields<JobStep> & { needs: EndpointCapacity }): JobStep {
   const { count, needs, estimateMs, dependsOn, requiredLabel, dataRack, maxPerEndpoint } = fields
   const $typeName = 'cherryhitch.v1.JobStep'
-  const more = { dependsOn, requiredLabel, dataRack, maxPerEndpoint }
-  return { $typeName, count, needs, estimateMs, ...more }
+  const constraints = { dependsOn, requiredLabel, dataRack, maxPerEndpoint }
+  return { $typeName, count, needs, estimateMs, ...constraints }
 }
 
 /** @public */
--- a/packages/protocol/src/lib/text/rows.ts
+++ b/packages/protocol/src/lib/text/rows.ts
@@ -1,4 +1,7 @@
-/** The messages of dispatching as rows of JSON, and back. Each row names its fields in order. */
+/**
+ * Encodes dispatch messages as JSON arrays (rows) and decodes them. The row types give the order of
+ * the fields.
+ */
 import type {
   EndpointAnswer,
   EndpointOrder,
@@ -28,13 +31,14 @@
   makeSubmitJob,
 } from './messages'
 
-/** What an order or an answer is, in its row. */
+/** Kind of an order, in its row. */
 enum OrderKind {
   Hold = 0,
   Start = 1,
   Stop = 2,
 }
 
+/** Kind of an answer, in its row. */
 enum AnswerKind {
   Report = 0,
   Fault = 1,
@@ -51,7 +55,7 @@
 ]
 type OrderBody =
   | [OrderKind.Hold, leaseEndsAt: number | null, acknowledgedEnd: number, waitMs: number]
-  /** The payload is named by its place in the list of the message: tasks of a job share theirs. */
+  /** `payload` is an index into the message's payload table, since the tasks of a job share one. */
   | [OrderKind.Start, task: string, run: number, payload: number, orderEndsAt: number]
   | [OrderKind.Stop, task: string, run: number]
 export type OrderRow = [...OrderHead, ...OrderBody]
@@ -98,21 +102,27 @@
   term: number,
 ]
 
-/** Payloads that the orders of one message share. */
-export class PayloadList {
-  readonly all: string[] = []
-
-  /** The place of a payload; those of one job come one after the other. */
-  place(payload: string): number {
-    const last = this.all.length - 1
-    if (this.all[last] === payload) return last
-    const known = this.all.indexOf(payload)
-    return known >= 0 ? known : this.all.push(payload) - 1
+/** The distinct payloads of the orders in one message. */
+export class PayloadTable {
+  readonly payloads: string[] = []
+
+  /**
+   * Returns a payload's index and adds it if it is new. The last payload is compared first, since
+   * the orders of one job follow one another.
+   */
+  indexOf(payload: string): number {
+    const last = this.payloads.length - 1
+    if (this.payloads[last] === payload) return last
+    const known = this.payloads.indexOf(payload)
+    return known >= 0 ? known : this.payloads.push(payload) - 1
   }
 }
 
-/** @returns undefined for an order of no known kind */
-export function orderRow(message: EndpointOrder, payloads: PayloadList): OrderRow | undefined {
+/** @returns undefined for an order of unknown kind */
+export function encodeOrder(
+  message: EndpointOrder,
+  payloadTable: PayloadTable,
+): OrderRow | undefined {
   const { id, endpoint, address, fencingToken, timeoutMs, order } = message
   const head: OrderHead = [id, endpoint, address, fencingToken, timeoutMs]
   switch (order.case) {
@@ -122,7 +132,7 @@
     }
     case 'start': {
       const { task, run, payload, orderEndsAt } = order.value
-      return [...head, OrderKind.Start, task, run, payloads.place(payload), orderEndsAt]
+      return [...head, OrderKind.Start, task, run, payloadTable.indexOf(payload), orderEndsAt]
     }
     case 'stop':
       return [...head, OrderKind.Stop, order.value.task, order.value.run]
@@ -131,13 +141,13 @@
   }
 }
 
-export function orderOf(row: OrderRow, payloads: readonly string[]): EndpointOrder {
+export function decodeOrder(row: OrderRow, payloads: readonly string[]): EndpointOrder {
   const [id, endpoint, address, fencingToken, timeoutMs] = row
   const head = { id, endpoint, address, fencingToken, timeoutMs }
-  return makeEndpointOrder({ ...head, order: orderBodyOf(row, payloads) })
+  return makeEndpointOrder({ ...head, order: decodeOrderBody(row, payloads) })
 }
 
-function orderBodyOf(row: OrderRow, payloads: readonly string[]): EndpointOrder['order'] {
+function decodeOrderBody(row: OrderRow, payloads: readonly string[]): EndpointOrder['order'] {
   switch (row[5]) {
     case OrderKind.Hold:
       return { case: 'hold', value: makeHoldOrder(row[6] ?? undefined, row[7], row[8]) }
@@ -151,11 +161,11 @@
   }
 }
 
-/** @returns undefined for an answer of no known kind */
-export function answerRow({ id, answer }: EndpointAnswer): AnswerRow | undefined {
+/** @returns undefined for an answer of unknown kind */
+export function encodeAnswer({ id, answer }: EndpointAnswer): AnswerRow | undefined {
   switch (answer.case) {
     case 'report':
-      return [id, AnswerKind.Report, ...reportRow(answer.value)]
+      return [id, AnswerKind.Report, ...encodeReport(answer.value)]
     case 'fault':
       return [id, AnswerKind.Fault, answer.value.failure, answer.value.detail]
     case 'started':
@@ -167,7 +177,7 @@
   }
 }
 
-function reportRow({ clockMs, running, ended }: HoldReport): ReportRow {
+function encodeReport({ clockMs, running, ended }: HoldReport): ReportRow {
   return [
     clockMs,
     running.map(({ task, run }) => [task, run]),
@@ -175,7 +185,7 @@
   ]
 }
 
-export function answerOf(row: AnswerRow): EndpointAnswer {
+export function decodeAnswer(row: AnswerRow): EndpointAnswer {
   const [id] = row
   switch (row[1]) {
     case AnswerKind.Report: {
@@ -196,41 +206,41 @@
 }
 
 /** @returns undefined for a request without a job */
-export function submitRow(message: SubmitJob): SubmitRow | undefined {
+export function encodeSubmit(message: SubmitJob): SubmitRow | undefined {
   const { requestId, host, path, spec, remainingMs, waitedMs, earlierAttempts } = message
   if (spec === undefined) return undefined
   const { jobId, payload, steps } = spec
-  const times = [remainingMs, waitedMs, earlierAttempts] as const
-  return [requestId, host, path, ...times, jobId, payload, steps.map(stepRow)]
+  const timing = [remainingMs, waitedMs, earlierAttempts] as const
+  return [requestId, host, path, ...timing, jobId, payload, steps.map(encodeStep)]
 }
 
-function stepRow(step: JobStep): StepRow {
+function encodeStep(step: JobStep): StepRow {
   const { count, needs, estimateMs, dependsOn, requiredLabel, dataRack, maxPerEndpoint } = step
   const { cpuMillis = 0, memoryMb = 0, gpus = 0 } = needs ?? {}
-  const wants = [cpuMillis, memoryMb, gpus] as const
-  return [count, ...wants, estimateMs, dependsOn, requiredLabel, dataRack, maxPerEndpoint]
+  const capacity = [cpuMillis, memoryMb, gpus] as const
+  return [count, ...capacity, estimateMs, dependsOn, requiredLabel, dataRack, maxPerEndpoint]
 }
 
-export function submitOf(row: SubmitRow): SubmitJob {
+export function decodeSubmit(row: SubmitRow): SubmitJob {
   const [requestId, host, path, remainingMs, waitedMs, earlierAttempts, jobId, payload, steps] = row
-  const spec = makeSteppedJob(jobId, payload, steps.map(stepOf))
+  const spec = makeSteppedJob(jobId, payload, steps.map(decodeStep))
   return makeSubmitJob({ requestId, host, path, spec, remainingMs, waitedMs, earlierAttempts })
 }
 
-function stepOf(row: StepRow): JobStep {
+function decodeStep(row: StepRow): JobStep {
   const [count, cpuMillis, memoryMb, gpus, estimateMs, dependsOn] = row
   const [, , , , , , requiredLabel, dataRack, maxPerEndpoint] = row
   const needs = makeEndpointCapacity(cpuMillis, memoryMb, gpus)
-  const where = { requiredLabel, dataRack, maxPerEndpoint }
-  return makeJobStep({ count, needs, estimateMs, dependsOn, ...where })
+  const constraints = { requiredLabel, dataRack, maxPerEndpoint }
+  return makeJobStep({ count, needs, estimateMs, dependsOn, ...constraints })
 }
 
-export function outcomeRow(message: JobOutcome): OutcomeRow {
+export function encodeOutcome(message: JobOutcome): OutcomeRow {
   const { requestId, verdict, reason, retryAfterMs, pending, term } = message
   return [requestId, verdict, reason, retryAfterMs, pending, term]
 }
 
-export function outcomeOf(row: OutcomeRow): JobOutcome {
+export function decodeOutcome(row: OutcomeRow): JobOutcome {
   const [requestId, verdict, reason, retryAfterMs, pending, term] = row
   return makeJobOutcome({ requestId, verdict, reason, retryAfterMs, pending, term })
 }
--- a/packages/protocol/src/lib/text/textCodec.test.ts
+++ b/packages/protocol/src/lib/text/textCodec.test.ts
@@ -17,41 +17,41 @@
 import { decodeText, encodeText } from './textCodec'
 
 const text = fc.string({ maxLength: 12 })
-const whole = fc.nat(2 ** 31)
+const integer = fc.nat(2 ** 31)
 const time = fc.double({ min: 0, max: 1e12, noNaN: true }).map((value) => value + 0)
 
 const order = fc.record({
-  id: whole,
+  id: integer,
   endpoint: text,
   address: text,
-  fencingToken: whole,
-  timeoutMs: whole,
+  fencingToken: integer,
+  timeoutMs: integer,
   order: fc.oneof(
-    fc.record({ acknowledgedEnd: whole, waitMs: whole }).map((value) => {
+    fc.record({ acknowledgedEnd: integer, waitMs: integer }).map((value) => {
       return { case: 'hold' as const, value }
     }),
-    fc.record({ leaseEndsAt: time, acknowledgedEnd: whole, waitMs: whole }).map((value) => {
+    fc.record({ leaseEndsAt: time, acknowledgedEnd: integer, waitMs: integer }).map((value) => {
       return { case: 'hold' as const, value }
     }),
-    fc.record({ task: text, run: whole, payload: text, orderEndsAt: time }).map((value) => {
+    fc.record({ task: text, run: integer, payload: text, orderEndsAt: time }).map((value) => {
       return { case: 'start' as const, value }
     }),
-    fc.record({ task: text, run: whole }).map((value) => ({ case: 'stop' as const, value })),
+    fc.record({ task: text, run: integer }).map((value) => ({ case: 'stop' as const, value })),
   ),
 })
 
 const answer = fc.record({
-  id: whole,
+  id: integer,
   answer: fc.oneof(
     fc
       .record({
         clockMs: time,
-        running: fc.array(fc.record({ task: text, run: whole }), { maxLength: 3 }),
+        running: fc.array(fc.record({ task: text, run: integer }), { maxLength: 3 }),
         ended: fc.array(
           fc.record({
             task: text,
-            run: whole,
-            position: whole,
+            run: integer,
+            position: integer,
             end: fc.constantFrom(ListedEnd.DONE, ListedEnd.FAILED, ListedEnd.STOPPED),
           }),
           { maxLength: 3 },
@@ -74,19 +74,19 @@
   path: text,
   remainingMs: time,
   waitedMs: time,
-  earlierAttempts: whole,
+  earlierAttempts: integer,
   spec: fc.record({
     jobId: text,
     payload: text,
     steps: fc.array(
       fc.record({
-        count: whole,
-        needs: fc.record({ cpuMillis: whole, memoryMb: whole, gpus: whole }),
+        count: integer,
+        needs: fc.record({ cpuMillis: integer, memoryMb: integer, gpus: integer }),
         estimateMs: time,
-        dependsOn: fc.array(whole, { maxLength: 2 }),
+        dependsOn: fc.array(integer, { maxLength: 2 }),
         requiredLabel: text,
         dataRack: text,
-        maxPerEndpoint: whole,
+        maxPerEndpoint: integer,
       }),
       { minLength: 1, maxLength: 3 },
     ),
@@ -98,59 +98,59 @@
   verdict: fc.constantFrom(JobVerdict.COMPLETED, JobVerdict.REFUSED),
   reason: text,
   retryAfterMs: time,
-  pending: whole,
-  term: whole,
+  pending: integer,
+  term: integer,
 })
 
-function isReadAsWritten(body: EnvelopeBody): void {
-  const written = encodeText(body)
-  assert.ok(written !== undefined)
-  assert.deepEqual(decodeText(written), body)
+function assertRoundTrip(body: EnvelopeBody): void {
+  const encoded = encodeText(body)
+  assert.ok(encoded !== undefined)
+  assert.deepEqual(decodeText(encoded), body)
 }
 
-describe('the text of the messages that are sent most', () => {
-  it('holds orders as they were', () => {
+describe('the text codec', () => {
+  it('preserves orders', () => {
     fc.assert(
       fc.property(fc.array(order, { maxLength: 6 }), time, (orders, sentMs) => {
         const value = create(EndpointOrdersSchema, { orders, sentMs })
-        isReadAsWritten({ case: 'endpointOrders', value })
+        assertRoundTrip({ case: 'endpointOrders', value })
       }),
     )
   })
 
-  it('holds answers as they were', () => {
+  it('preserves answers', () => {
     fc.assert(
-      fc.property(fc.array(answer, { maxLength: 6 }), whole, (answers, forBoot) => {
+      fc.property(fc.array(answer, { maxLength: 6 }), integer, (answers, forBoot) => {
         const value = create(EndpointAnswersSchema, { answers, forBoot })
-        isReadAsWritten({ case: 'endpointAnswers', value })
+        assertRoundTrip({ case: 'endpointAnswers', value })
       }),
     )
   })
 
-  it('holds jobs and their outcomes as they were', () => {
+  it('preserves jobs and their outcomes', () => {
     fc.assert(
-      fc.property(submit, outcome, (job, told) => {
-        isReadAsWritten({ case: 'submitJob', value: create(SubmitJobSchema, job) })
-        isReadAsWritten({ case: 'jobOutcome', value: create(JobOutcomeSchema, told) })
+      fc.property(submit, outcome, (job, jobOutcome) => {
+        assertRoundTrip({ case: 'submitJob', value: create(SubmitJobSchema, job) })
+        assertRoundTrip({ case: 'jobOutcome', value: create(JobOutcomeSchema, jobOutcome) })
       }),
     )
   })
 
-  it('names a payload once that several orders share', () => {
+  it('contains a payload that several orders share only once', () => {
     const start = (task: string) => ({
       order: { case: 'start' as const, value: { task, run: 1, payload: 'shared payload' } },
     })
     const value = create(EndpointOrdersSchema, { orders: [start('a'), start('b')] })
-    const written = encodeText({ case: 'endpointOrders', value }) ?? ''
-    assert.equal(written.split('shared payload').length, 2)
+    const encoded = encodeText({ case: 'endpointOrders', value }) ?? ''
+    assert.equal(encoded.split('shared payload').length, 2)
   })
 
-  it('is left to other messages', () => {
+  it('does not encode other messages', () => {
     const { body } = envelope({ case: 'abandonJob', value: { requestId: '1' } })
     assert.equal(encodeText(body), undefined)
   })
 
-  it('of no known kind, or cut off, is refused', () => {
+  it('rejects texts that are of unknown kind or truncated', () => {
     assert.throws(() => decodeText('[99]'))
     assert.throws(() => decodeText('[1,["a"'))
   })
--- a/packages/protocol/src/lib/text/textCodec.ts
+++ b/packages/protocol/src/lib/text/textCodec.ts
@@ -1,10 +1,17 @@
 import type { EnvelopeBody } from '../envelope'
 import type { Envelope } from '../gen/cherryhitch/v1/link_pb'
-import { answerOf, answerRow, orderOf, orderRow, outcomeOf, outcomeRow } from './rows'
-import { PayloadList, submitOf, submitRow } from './rows'
+import {
+  decodeAnswer,
+  encodeAnswer,
+  decodeOrder,
+  encodeOrder,
+  decodeOutcome,
+  encodeOutcome,
+} from './rows'
+import { PayloadTable, decodeSubmit, encodeSubmit } from './rows'
 import type { AnswerRow, OrderRow, OutcomeRow, SubmitRow } from './rows'
 
-/** Which message a text is. */
+/** Kind of message in a text. */
 enum TextKind {
   Orders = 1,
   Answers = 2,
@@ -19,50 +26,50 @@
   | [TextKind.Outcome, OutcomeRow]
 
 /**
- * Writes one of the messages that are sent thousands of times a second as JSON. A process of a
- * minute's life runs most of its code before it is optimised; the runtime's own JSON is fast from
- * the start, while a codec by reflection is not.
+ * Encodes a message as JSON if it is one of those that are sent thousands of times a second. A
+ * process that runs for about a minute executes most of its code before the JIT optimizes it. The
+ * built-in JSON functions are fast from the start, while a reflection-based codec is not.
  *
  * @returns undefined for all other messages
  * @public
  */
 export function encodeText(body: Envelope['body']): string | undefined {
-  const message = textMessage(body)
+  const message = toTextMessage(body)
   return message && JSON.stringify(message)
 }
 
-function textMessage(body: Envelope['body']): TextMessage | undefined {
+function toTextMessage(body: Envelope['body']): TextMessage | undefined {
   switch (body.case) {
     case 'endpointOrders': {
-      const payloads = new PayloadList()
+      const payloadTable = new PayloadTable()
       const rows = body.value.orders.flatMap((order) => {
-        const row = orderRow(order, payloads)
+        const row = encodeOrder(order, payloadTable)
         return row === undefined ? [] : [row]
       })
-      return [TextKind.Orders, payloads.all, rows, body.value.sentMs]
+      return [TextKind.Orders, payloadTable.payloads, rows, body.value.sentMs]
     }
     case 'endpointAnswers': {
       const rows = body.value.answers.flatMap((answer) => {
-        const row = answerRow(answer)
+        const row = encodeAnswer(answer)
         return row === undefined ? [] : [row]
       })
       return [TextKind.Answers, rows, body.value.forBoot]
     }
     case 'submitJob': {
-      const row = submitRow(body.value)
+      const row = encodeSubmit(body.value)
       return row && [TextKind.Submit, row]
     }
     case 'jobOutcome':
-      return [TextKind.Outcome, outcomeRow(body.value)]
+      return [TextKind.Outcome, encodeOutcome(body.value)]
     default:
       return undefined
   }
 }
 
 /**
- * Reads what `encodeText` wrote.
+ * Decodes a message that `encodeText` encoded.
  *
- * @throws SyntaxError when the text is no JSON, Error when it is of no known kind
+ * @throws SyntaxError if the text is not JSON, Error if its message kind is unknown
  * @public
  */
 export function decodeText(text: string): EnvelopeBody {
@@ -70,21 +77,21 @@
   switch (message[0]) {
     case TextKind.Orders: {
       const [, payloads, rows, sentMs] = message
-      const orders = rows.map((row) => orderOf(row, payloads))
+      const orders = rows.map((row) => decodeOrder(row, payloads))
       const value = { $typeName: 'cherryhitch.v1.EndpointOrders' as const, orders, sentMs }
       return { case: 'endpointOrders', value }
     }
     case TextKind.Answers: {
       const [, rows, forBoot] = message
-      const answers = rows.map(answerOf)
+      const answers = rows.map(decodeAnswer)
       const value = { $typeName: 'cherryhitch.v1.EndpointAnswers' as const, answers, forBoot }
       return { case: 'endpointAnswers', value }
     }
     case TextKind.Submit:
-      return { case: 'submitJob', value: submitOf(message[1]) }
+      return { case: 'submitJob', value: decodeSubmit(message[1]) }
     case TextKind.Outcome:
-      return { case: 'jobOutcome', value: outcomeOf(message[1]) }
+      return { case: 'jobOutcome', value: decodeOutcome(message[1]) }
     default:
-      throw new Error('a text of no known kind')
+      throw new Error('unknown kind of text message')
   }
 }
