--- a/packages/owner/src/lib/Outbox.ts
+++ b/packages/owner/src/lib/Outbox.ts
@@ -3,7 +3,11 @@
 import type { OwnerAction } from './OwnerAction'
 import { OwnerActionKind } from './OwnerAction'
 
-/** Collects what one step decides; reports to one coordinator leave in one message. @internal */
+/**
+ * Collects the actions of one step. Task reports are batched into one message per coordinator.
+ *
+ * @internal
+ */
 export class Outbox {
   private actions: OwnerAction[] = []
   private readonly reports = new Map<string, Map<string, TaskReport[]>>()
@@ -24,7 +28,7 @@
     else reports.push(report)
   }
 
-  /** Hands out everything, and is empty after it. */
+  /** Returns all collected actions, and leaves the outbox empty. */
   take(): readonly OwnerAction[] {
     for (const [coordinator, jobs] of this.reports) {
       const batches = [...jobs].map(([jobId, reports]) => ({ jobId, reports }))
--- a/packages/owner/src/lib/OwnerAction.ts
+++ b/packages/owner/src/lib/OwnerAction.ts
@@ -1,7 +1,7 @@
 import type { SpanRecord } from '@cherryhitch/model'
 import type { Envelope, Resources } from '@cherryhitch/protocol'
 
-/** What an owner asks its shell to do. @public */
+/** Kinds of side effects that the owner's state machine leaves to its host. @public */
 export enum OwnerActionKind {
   Send = 'send',
   RunTask = 'run_task',
@@ -37,32 +37,36 @@
       readonly endpoint: string
       readonly address: string
     }
-  /** The offer changed so much that coordinators should hear of it at once. */
+  /** Capacity changed enough for the summaries to be sent to coordinators at once. */
   | { readonly kind: OwnerActionKind.SummaryChanged }
   | { readonly kind: OwnerActionKind.Span; readonly span: SpanRecord }
-  /** Draining is over: nothing is queued, dispatched or owned here any more. */
+  /** Draining is complete: no task is queued or dispatched here any more. */
   | { readonly kind: OwnerActionKind.Drained }
-  /** Nobody awaits this request any more: its connection is closed. RunEnded still follows. */
+  /** Closes the connection of a request whose answer is not needed. RunEnded still follows. */
   | {
       readonly kind: OwnerActionKind.DropRun
       readonly endpoint: string
       readonly taskId: string
       readonly run: number
     }
-  /** The endpoint was handed over: idle connections to it are closed. */
+  /** Closes idle connections to an endpoint that was handed over or where one may be dead. */
   | { readonly kind: OwnerActionKind.CloseIdle; readonly endpoint: string }
 
-/** Starts a task at an endpoint, or joins it when `join` says it may run there already. @public */
+/**
+ * Starts a task at an endpoint, or with `join` attaches to a run that may already be there.
+ *
+ * @public
+ */
 export interface RunTaskAction {
   readonly kind: OwnerActionKind.RunTask
   readonly endpoint: string
   readonly address: string
-  /** Connections the endpoint allows this owner to hold. */
+  /** Maximum number of connections that this owner may hold to the endpoint. */
   readonly maxConnections: number
   readonly taskId: string
-  /** Number of this request, unique in this process; RunEnded names it. */
+  /** Number of this request, unique in this process; RunEnded repeats it. */
   readonly run: number
-  /** Boot of the endpoint that the owner means; another process there must refuse the request. */
+  /** Boot number of the intended endpoint process; any other process must refuse the request. */
   readonly endpointBoot: number
   readonly service: string
   readonly payload: string
--- a/packages/owner/src/lib/OwnerContext.ts
+++ b/packages/owner/src/lib/OwnerContext.ts
@@ -18,7 +18,7 @@
 import type { TaskRecord } from './tasks/TaskRecord'
 import { TaskPhase } from './tasks/TaskRecord'
 
-/** The state that the managers of one owner share, and the policies of its preset. @internal */
+/** State shared by the components of one owner, and the policies of its preset. @internal */
 export class OwnerContext {
   readonly instance: string
   readonly boot: number
@@ -30,16 +30,16 @@
   readonly outbox = new Outbox()
   readonly counters = newOwnerCounters()
   readonly ownership: OwnershipView
-  /** All endpoints that are owned here or still run tasks from here. */
+  /** Endpoints that are owned here or still run tasks that were dispatched from here. */
   readonly endpoints = new Map<string, EndpointRecord>()
   readonly lanes = new Map<string, ServiceLane>()
-  /** Lanes where something may be dispatched since the last look. */
-  readonly dirtyLanes = new Set<ServiceLane>()
-  /** Ended tasks of handed-over endpoints, whose new owners have to hear of it. */
+  /** Pools in which a task may have become dispatchable since the last dispatch. */
+  readonly dirtyPools = new Set<ServiceLane>()
+  /** Per handed-over endpoint, ended tasks that its new owner has not been told of. */
   readonly releasedSlots = new Map<string, string[]>()
   /** Per service, the owners that its endpoints were handed over to. */
   readonly successors = new Map<string, Set<string>>()
-  /** Endpoints with ids that wait to be stopped. */
+  /** Endpoints with task ids in `pendingStops`. */
   readonly stopsWaiting = new Set<EndpointRecord>()
   preset: PresetDefinition
   health: EndpointHealth
@@ -56,7 +56,7 @@
     this.memory = new TaskMemory({
       rememberMs: this.timing.rememberMs,
       tasks: this.limits.rememberedTasks,
-      output: this.limits.rememberedOutput,
+      output: this.limits.rememberedOutputChars,
     })
     this.preset = options.preset
     this.ownership = new OwnershipView(options.instance, options.zone, options.preset.ownerShards)
@@ -68,12 +68,12 @@
   lane(service: string): ServiceLane {
     const known = this.lanes.get(service)
     if (known !== undefined) return known
-    const lane = new ServiceLane(service, createTaskQueue<TaskRecord>(this.preset.queueOrder))
-    this.lanes.set(service, lane)
-    return lane
+    const pool = new ServiceLane(service, createTaskQueue<TaskRecord>(this.preset.queueOrder))
+    this.lanes.set(service, pool)
+    return pool
   }
 
-  /** Live owners that queued tasks of a service can move to. */
+  /** Live owners to which queued tasks of a service can be forwarded. */
   successorsOf(service: string): readonly string[] {
     const known = [...(this.successors.get(service) ?? [])]
     const alive = known.filter((instance) => this.ownership.isAlive(instance))
@@ -82,25 +82,25 @@
     return owner === undefined || owner === this.instance ? [] : [owner]
   }
 
-  canPassOn(service: string): boolean {
+  canForward(service: string): boolean {
     return this.successorsOf(service).length > 0
   }
 
-  /** Looks at an endpoint's free slots again, after anything about it changed. */
+  /** Re-evaluates whether an endpoint has free slots, after any change to its record. */
   refresh(record: EndpointRecord): void {
-    const lane = this.lanes.get(record.service)
-    if (lane === undefined) return
-    lane.refresh(record)
-    this.dirtyLanes.add(lane)
+    const pool = this.lanes.get(record.service)
+    if (pool === undefined) return
+    pool.refresh(record)
+    this.dirtyPools.add(pool)
   }
 
-  /** Has a dispatched task stopped at its endpoint. */
+  /** Requests that a dispatched task be stopped at its endpoint. */
   stop(task: TaskRecord): void {
     task.phase = TaskPhase.Stopping
     this.askToStop(task)
   }
 
-  /** Puts a task into the next StopTasks of its endpoint, unless one is open that names it. */
+  /** Adds a task to its endpoint's next StopTasks, unless the one in flight includes it. */
   askToStop(task: TaskRecord): void {
     const record = task.endpoint
     if (record === undefined || record.stopsAsked?.includes(task.taskId)) return
@@ -108,34 +108,34 @@
     this.stopsWaiting.add(record)
   }
 
-  /** Instant at which the lease of a task has run out for certain. */
+  /** Time by which the lease of a task has certainly expired, message delay included. */
   leaseEnd(task: TaskRecord): number {
     return task.leasedAt + this.timing.leaseMs + this.timing.leaseSlackMs
   }
 
   /**
-   * Works by the rules of another preset. Queued tasks keep their order of arrival as the new
-   * queue's input; what the old policies learned is kept where the rule stays the same.
+   * Switches to another preset. Queued tasks enter the new queue in their order of arrival.
+   * Policies whose rule stays the same keep their learned state.
    */
-  usePreset(now: number, preset: PresetDefinition): void {
+  applyPreset(now: number, preset: PresetDefinition): void {
     const old = this.preset
     this.preset = preset
     if (old.queueOrder !== preset.queueOrder) {
-      for (const lane of this.lanes.values()) this.rebuildQueue(now, lane)
+      for (const pool of this.lanes.values()) this.rebuildQueue(now, pool)
     }
     if (old.placementRule !== preset.placementRule) {
       this.picker = createEndpointPicker(preset.placementRule)
     }
     if (old.retryBudget !== preset.retryBudget) this.retries = createRetryBudget(preset)
     if (old.healthRule !== preset.healthRule) this.rebuildHealth()
-    for (const lane of this.lanes.values()) this.dirtyLanes.add(lane)
+    for (const pool of this.lanes.values()) this.dirtyPools.add(pool)
   }
 
-  private rebuildQueue(now: number, lane: ServiceLane): void {
-    const waiting = [...lane.queue.tasks()]
+  private rebuildQueue(now: number, pool: ServiceLane): void {
+    const waiting = [...pool.queue.tasks()]
     waiting.sort((one, other) => one.enqueuedAt - other.enqueuedAt)
-    lane.queue = createTaskQueue<TaskRecord>(this.preset.queueOrder)
-    for (const task of waiting) lane.queue.push(now, task)
+    pool.queue = createTaskQueue<TaskRecord>(this.preset.queueOrder)
+    for (const task of waiting) pool.queue.push(now, task)
   }
 
   private rebuildHealth(): void {
--- a/packages/owner/src/lib/OwnerCounters.ts
+++ b/packages/owner/src/lib/OwnerCounters.ts
@@ -1,14 +1,14 @@
 /** Totals since the start of the process. @public */
 export interface OwnerCounters {
   placed: number
-  /** Placed again while known here or remembered: ignored. */
+  /** Placements ignored because the task is known or remembered here. */
   duplicatePlacements: number
-  /** Placed after they were fenced or their job was cancelled: ignored. */
+  /** Placements ignored because the task was fenced or its job was cancelled. */
   fencedPlacements: number
-  /** Placed with an earlier process of this instance, which may have started them: ignored. */
+  /** Placements ignored as addressed to another boot here, which may have started the tasks. */
   misdirectedPlacements: number
   dispatched: number
-  /** Requests that fetch the answer of a task that was dispatched before. */
+  /** Requests for the answer of a task that was dispatched earlier. */
   joined: number
   succeeded: number
   failed: number
@@ -20,12 +20,12 @@
   expiredQueued: number
   expiredRunning: number
   leasesRunOut: number
-  /** Answers for a task, request or endpoint that nothing is awaited of. */
+  /** Answers that concern no pending task, request or endpoint. */
   lateAnswers: number
-  /** Heartbeats of an earlier boot. */
+  /** Heartbeats of an earlier boot of the endpoint. */
   staleHeartbeats: number
   forwardedHeartbeats: number
-  /** Heartbeats of endpoints without a known owner, or forwarded to the wrong one. */
+  /** Heartbeats without a known owner, forwarded to the wrong one, or repeated too soon. */
   droppedHeartbeats: number
   stopMessages: number
   renewMessages: number
--- a/packages/owner/src/lib/OwnerEvent.ts
+++ b/packages/owner/src/lib/OwnerEvent.ts
@@ -11,7 +11,7 @@
 } from '@cherryhitch/protocol'
 import type { RunResult, StopResult } from './endpointResults'
 
-/** What an owner can be told. @public */
+/** Kinds of events that the owner's state machine handles. @public */
 export enum OwnerEventKind {
   Heartbeat = 'heartbeat',
   Message = 'message',
@@ -38,7 +38,7 @@
   | {
       readonly kind: OwnerEventKind.Heartbeat
       readonly announcement: EndpointAnnouncement
-      /** The instance that passed it on; it is not passed on a second time. */
+      /** The instance that forwarded the heartbeat; it is not forwarded a second time. */
       readonly forwardedBy?: string
     }
   | {
@@ -47,7 +47,7 @@
       readonly from: string
       readonly message: OwnerMessage
     }
-  /** The answer to RunTask: exactly one for each. */
+  /** The result of RunTask: exactly one for each. */
   | {
       readonly kind: OwnerEventKind.RunEnded
       readonly endpoint: string
@@ -55,30 +55,30 @@
       readonly run: number
       readonly result: RunResult
     }
-  /** The answer to StopTasks: one for each. */
+  /** The result of StopTasks: one for each. */
   | {
       readonly kind: OwnerEventKind.StopEnded
       readonly endpoint: string
       readonly results: readonly StopResult[]
-      /** Boot of the endpoint that answered, where it says so. */
+      /** Boot number of the endpoint that answered, if the answer includes it. */
       readonly boot?: number | undefined
     }
-  /** The answer to RenewLeases. `known` is undefined when the endpoint did not answer. */
+  /** The result of RenewLeases. `knownTaskIds` is undefined if the endpoint did not answer. */
   | {
       readonly kind: OwnerEventKind.LeasesRenewed
       readonly endpoint: string
       readonly asked: readonly string[]
       readonly known: readonly string[] | undefined
-      /** Boot of the endpoint that answered, where it says so. */
+      /** Boot number of the endpoint that answered, if the answer includes it. */
       readonly boot?: number | undefined
     }
-  /** The answer to Probe. */
+  /** The result of Probe. */
   | {
       readonly kind: OwnerEventKind.ProbeEnded
       readonly endpoint: string
       readonly alive: boolean
     }
-  /** The instances known now; ownership follows from them. */
+  /** The instances known now, from which ownership is derived. */
   | { readonly kind: OwnerEventKind.Members; readonly members: readonly InstanceView[] }
   | { readonly kind: OwnerEventKind.Preset; readonly preset: PresetDefinition }
   | { readonly kind: OwnerEventKind.Drain }
--- a/packages/owner/src/lib/OwnerMachine.ts
+++ b/packages/owner/src/lib/OwnerMachine.ts
@@ -30,8 +30,9 @@
 import { Summaries } from './views/Summaries'
 
 /**
- * The owner of a zone's endpoints, or of a share of them: it queues tasks, starts each where a
- * slot is free, and reports how it ended. It hosts the managers and routes events to them.
+ * State machine of the owner of a zone's endpoints, or of a share of them. It queues tasks, starts
+ * each at an endpoint with a free slot, and reports its outcome. This class creates the components
+ * and routes events to them.
  *
  * @public
  */
@@ -50,7 +51,7 @@
   private readonly cancellation: Cancellation
   private readonly fencing: Fencing
   private readonly coordinators: CoordinatorWatch
-  private readonly offers: Summaries
+  private readonly serviceSummaries: Summaries
   private drained = false
 
   constructor(options: OwnerMachineOptions) {
@@ -71,7 +72,7 @@
     this.cancellation = new Cancellation(ctx, ends)
     this.fencing = new Fencing(ctx)
     this.coordinators = new CoordinatorWatch(ctx, this.cancellation)
-    this.offers = new Summaries(ctx)
+    this.serviceSummaries = new Summaries(ctx)
   }
 
   override step(now: number, event: OwnerEvent): readonly OwnerAction[] {
@@ -81,24 +82,24 @@
 
   override tick(now: number): readonly OwnerAction[] {
     for (const record of [...this.ctx.endpoints.values()]) {
-      this.probes.tend(now, record)
+      this.probes.check(now, record)
       this.leases.tend(now, record)
-      this.handOver.expireHeld(now, record)
-      this.directory.forgetIfGone(now, record)
+      this.handOver.expireHeldSlots(now, record)
+      this.directory.removeIfGone(now, record)
     }
     this.notRun.tick(now)
     this.coordinators.tick(now)
-    for (const lane of [...this.ctx.lanes.values()]) this.tendLane(now, lane)
+    for (const pool of [...this.ctx.lanes.values()]) this.tickPool(now, pool)
     this.ctx.memory.expire(now)
-    if (this.offers.changedMuch(now)) {
+    if (this.serviceSummaries.changedMuch(now)) {
       this.ctx.outbox.push({ kind: OwnerActionKind.SummaryChanged })
     }
     return this.finish(now)
   }
 
-  /** What is offered to coordinators now, per service. */
+  /** Current capacity and load per service, as sent to coordinators. */
   summaries(now: number): readonly ServiceSummary[] {
-    return this.offers.make(now)
+    return this.serviceSummaries.make(now)
   }
 
   /** The endpoints known here, for operators. */
@@ -115,7 +116,7 @@
     return this.ctx.book.size
   }
 
-  /** The instance that heartbeats of an endpoint should go to; undefined when none is known. */
+  /** The instance that should get an endpoint's heartbeats; undefined if none is known. */
   ownerOf(endpoint: string, service: string, zone = this.ctx.zone): string | undefined {
     if (this.ctx.endpoints.get(endpoint)?.owned === true) return this.ctx.instance
     return this.ctx.ownership.ownerOf(endpoint, service, zone)
@@ -127,7 +128,7 @@
         this.directory.heartbeat(now, event.announcement, event.forwardedBy)
         return
       case OwnerEventKind.Message:
-        this.receive(now, event.from, event.message)
+        this.handleMessage(now, event.from, event.message)
         return
       case OwnerEventKind.RunEnded:
         this.answers.ended(now, event)
@@ -135,7 +136,7 @@
       case OwnerEventKind.StopEnded:
       case OwnerEventKind.LeasesRenewed:
       case OwnerEventKind.ProbeEnded:
-        this.applyControlAnswer(now, event)
+        this.applyControlReply(now, event)
         return
       case OwnerEventKind.Members:
         this.setMembers(now, event.members)
@@ -151,17 +152,17 @@
     }
   }
 
-  private tendLane(now: number, lane: ServiceLane): void {
-    for (const task of lane.queue.removeExpired(now)) this.dispatcher.expire(now, task)
-    lane.countSlots()
-    this.ctx.dirtyLanes.add(lane)
-    if (lane.isEmpty) this.ctx.lanes.delete(lane.service)
+  private tickPool(now: number, pool: ServiceLane): void {
+    for (const task of pool.queue.removeExpired(now)) this.dispatcher.expire(now, task)
+    pool.countSlots()
+    this.ctx.dirtyPools.add(pool)
+    if (pool.isEmpty) this.ctx.lanes.delete(pool.service)
     const { draining, timing } = this.ctx
-    if (draining || lane.endpoints.size === 0 || !lane.isDeserted(now, timing)) return
-    this.queues.refuseAll(now, lane, Reason.NO_ENDPOINT, 'No endpoint of the service is left.')
+    if (draining || pool.endpoints.size === 0 || !pool.hasNoUsableEndpoint(now, timing)) return
+    this.queues.refuseAll(now, pool, Reason.NO_ENDPOINT, 'No endpoint of the service is left.')
   }
 
-  private receive(now: number, from: string, message: OwnerMessage): void {
+  private handleMessage(now: number, from: string, message: OwnerMessage): void {
     switch (message.case) {
       case 'placeTasks':
         this.placement.place(now, from, message.value)
@@ -176,7 +177,7 @@
         this.handOver.takeOver(now, from, message.value)
         return
       case 'releaseSlots':
-        this.handOver.released(from, message.value)
+        this.handOver.applyRelease(from, message.value)
         return
       case 'forwardHeartbeat': {
         const { announcement } = message.value
@@ -188,43 +189,43 @@
     }
   }
 
-  private applyControlAnswer(now: number, event: ControlAnswer): void {
+  private applyControlReply(now: number, event: ControlReply): void {
     const record = this.ctx.endpoints.get(event.endpoint)
     if (record === undefined) this.ctx.counters.lateAnswers++
     else if (event.kind === OwnerEventKind.StopEnded) {
       this.lost.stopsEnded(now, record, event.results, event.boot)
     } else if (event.kind === OwnerEventKind.LeasesRenewed) {
       this.leases.renewed(now, record, event.known, event.boot)
-    } else this.probes.ended(now, record, event.alive)
+    } else this.probes.onProbeEnded(now, record, event.alive)
   }
 
   private setMembers(now: number, members: readonly InstanceView[]): void {
     const changed = this.ctx.ownership.setMembers(now, members)
-    this.handOver.forgetDeadHolders()
+    this.handOver.clearDeadHolders()
     if (changed) this.handOver.rebalance(now)
     this.coordinators.membersChanged(now, members)
   }
 
   private setPreset(now: number, preset: PresetDefinition): void {
     const moved = this.ctx.ownership.setShards(preset.ownerShards)
-    this.ctx.usePreset(now, preset)
+    this.ctx.applyPreset(now, preset)
     if (moved) this.handOver.rebalance(now)
   }
 
   private drain(now: number): void {
     if (this.ctx.draining) return
     this.ctx.draining = true
-    this.ctx.ownership.leave(now)
+    this.ctx.ownership.startDraining(now)
     this.handOver.rebalance(now)
-    for (const lane of this.ctx.lanes.values()) this.ctx.dirtyLanes.add(lane)
+    for (const pool of this.ctx.lanes.values()) this.ctx.dirtyPools.add(pool)
   }
 
-  /** Starts what can start, and hands out what was decided. */
+  /** Forwards and dispatches queued tasks, and returns all actions of this step. */
   private finish(now: number): readonly OwnerAction[] {
     this.queues.run(now)
     this.dispatcher.run(now)
     this.lost.sendStops(now)
-    this.handOver.flushReleases()
+    this.handOver.sendReleases()
     if (this.ctx.draining && !this.drained && this.ctx.book.size === 0) {
       this.drained = true
       this.ctx.outbox.push({ kind: OwnerActionKind.Drained })
@@ -233,7 +234,7 @@
   }
 }
 
-type ControlAnswer = Extract<
+type ControlReply = Extract<
   OwnerEvent,
   {
     kind: OwnerEventKind.StopEnded | OwnerEventKind.LeasesRenewed | OwnerEventKind.ProbeEnded
--- a/packages/owner/src/lib/OwnerOptions.ts
+++ b/packages/owner/src/lib/OwnerOptions.ts
@@ -1,32 +1,32 @@
 import type { PresetDefinition } from '@cherryhitch/protocol'
 
-/** Durations of an owner, in milliseconds. @public */
+/** Intervals and time-outs of an owner, in milliseconds. @public */
 export interface OwnerTiming {
-  /** Pace of an endpoint's heartbeats. */
+  /** Interval between an endpoint's heartbeats. */
   readonly heartbeatMs: number
-  /** Silence after which an endpoint is probed on a new connection. */
+  /** Time without a sign of life after which an endpoint is probed on a new connection. */
   readonly suspectAfterMs: number
-  /** Silence after which an endpoint gets no new work, whatever a probe says. */
+  /** Time without a heartbeat after which an endpoint gets no new work, even if probes succeed. */
   readonly endpointTimeoutMs: number
-  /** Silence after which an idle endpoint is forgotten. */
+  /** Time without a heartbeat after which an idle endpoint is forgotten. */
   readonly forgetEndpointMs: number
-  /** Lease of a running task. */
+  /** Duration of a running task's lease. */
   readonly leaseMs: number
-  /** Added to a lease before it counts as run out: the way of the message that granted it. */
+  /** Added to a lease before it counts as expired: the delay of the message that granted it. */
   readonly leaseSlackMs: number
-  /** Between two questions about a task whose fate is unclear. */
+  /** Interval between two queries about a task in an unknown state, and between failed probes. */
   readonly recheckMs: number
-  /** How long the answer of a task may still be on its way after its endpoint restarted. */
+  /** How long the answer of a task is still awaited after its endpoint restarted. */
   readonly restartGraceMs: number
-  /** A question to the shell without an answer counts as unanswered after this. */
+  /** Time after which a stop, renewal or probe without a result counts as unanswered. */
   readonly askTimeoutMs: number
-  /** Silence of a coordinator after which nobody is thought to wait for its tasks. */
-  readonly coordinatorLostMs: number
-  /** How long a new owner waits for the hand-over by an old one that is alive. */
-  readonly settleMs: number
-  /** Least time between two announcements of a changed offer. */
+  /** Silence of a coordinator after which nobody is assumed to wait for its tasks. */
+  readonly coordinatorTimeoutMs: number
+  /** How long a new owner waits for the hand-over by a previous owner that is alive. */
+  readonly handOverWaitMs: number
+  /** Minimum interval between two announcements of changed summaries. */
   readonly summaryMs: number
-  /** How long ended, fenced and passed-on tasks are remembered. */
+  /** How long ended, fenced and forwarded tasks are remembered. */
   readonly rememberMs: number
 }
 
@@ -41,35 +41,34 @@
   recheckMs: 500,
   restartGraceMs: 500,
   askTimeoutMs: 5000,
-  coordinatorLostMs: 10_000,
-  settleMs: 600,
+  coordinatorTimeoutMs: 10_000,
+  handOverWaitMs: 600,
   summaryMs: 100,
   rememberMs: 60_000,
 }
 
-/** Bounds of what an owner keeps in memory. @public */
+/** Limits on what an owner remembers, and on the endpoints compared per task. @public */
 export interface OwnerLimits {
-  /** Ended, fenced and passed-on tasks that are remembered. */
+  /** Maximum number of ended, fenced and forwarded tasks that are remembered. */
   readonly rememberedTasks: number
-  /** Characters of outputs that are kept to send reports again. */
-  readonly rememberedOutput: number
+  /** Maximum total characters of outputs that are kept for resending reports. */
+  readonly rememberedOutputChars: number
   /**
-   * Endpoints that the picker weighs for one task. An owner has about 11 at the users' sizes; the
-   * design note gives the cost of more.
+   * Maximum number of endpoints that the picker compares for one task. An owner has about 11 at
+   * the users' sizes; the design note gives the cost of more.
    */
-  readonly candidates: number
+  readonly maxCandidates: number
 }
 
 /** @public */
 export const defaultOwnerLimits: OwnerLimits = {
   rememberedTasks: 100_000,
-  rememberedOutput: 16_000_000,
-  candidates: 16,
+  rememberedOutputChars: 16_000_000,
+  maxCandidates: 16,
 }
 
 /** @public */
 export interface OwnerMachineOptions {
-  /** Name of this instance. */
   readonly instance: string
   readonly zone: string
   /** Boot number of this process. */
--- a/packages/owner/src/lib/dispatch/Dispatcher.ts
+++ b/packages/owner/src/lib/dispatch/Dispatcher.ts
@@ -14,15 +14,15 @@
 import type { ServiceLane } from './ServiceLane'
 
 /**
- * Tasks at the head of a queue that are tried on the open endpoints before giving up: a queue of
- * thousands that fit nowhere must not be scanned with each event.
+ * Maximum number of tasks at the head of a queue that are matched against the open endpoints, so
+ * that a queue of thousands that fit nowhere is not scanned on each event.
  */
-const MAX_TRIES = 128
+const MAX_TASKS_TRIED = 128
 
-/** After the picker rather let so many tasks wait, it would say the same of those behind them. */
-const MAX_HELD_BACK = 4
+/** After the picker held back this many tasks, it would also hold back those behind them. */
+const MAX_TASKS_HELD_BACK = 4
 
-/** Starts queued tasks wherever a slot is free. @internal */
+/** Starts queued tasks at endpoints with a free slot. @internal */
 export class Dispatcher {
   private nextRun = 1
   private heldBack = 0
@@ -34,19 +34,19 @@
   ) {}
 
   enqueue(now: number, task: TaskRecord): void {
-    const lane = this.ctx.lane(task.service)
+    const pool = this.ctx.lane(task.service)
     task.phase = TaskPhase.Queued
-    lane.queue.push(now, task)
-    this.ctx.dirtyLanes.add(lane)
+    pool.queue.push(now, task)
+    this.ctx.dirtyPools.add(pool)
   }
 
-  /** Looks at the lanes where something changed. */
+  /** Dispatches from the pools that changed since the last call. */
   run(now: number): void {
-    for (const lane of this.ctx.dirtyLanes) this.runLane(now, lane)
-    this.ctx.dirtyLanes.clear()
+    for (const pool of this.ctx.dirtyPools) this.dispatchFrom(now, pool)
+    this.ctx.dirtyPools.clear()
   }
 
-  /** Asks for the answer of a task that its endpoint knows, on another connection. */
+  /** Requests the answer of a task that its endpoint knows, on another connection. */
   join(now: number, task: TaskRecord): void {
     const record = task.endpoint
     if (record === undefined) return
@@ -54,29 +54,29 @@
     task.started = true
     task.missedAt = undefined
     this.ctx.counters.joined++
-    this.request(now, task, record, true)
+    this.sendRunRequest(now, task, record, true)
     this.ctx.refresh(record)
   }
 
-  private runLane(now: number, lane: ServiceLane): void {
+  private dispatchFrom(now: number, pool: ServiceLane): void {
     if (this.ctx.draining) return
-    while (lane.open.length > 0 && lane.queue.size > 0) {
+    while (pool.openEndpoints.length > 0 && pool.queue.size > 0) {
       let tries = 0
       this.heldBack = 0
-      let place: EndpointRecord | undefined
-      const task = lane.queue.pop(now, (next) => {
+      let chosen: EndpointRecord | undefined
+      const task = pool.queue.pop(now, (next) => {
         if (next.deadlineAt <= now) return true
-        if (++tries > MAX_TRIES || this.heldBack >= MAX_HELD_BACK) return false
-        place = this.findPlace(now, lane, next)
-        return place !== undefined
+        if (++tries > MAX_TASKS_TRIED || this.heldBack >= MAX_TASKS_HELD_BACK) return false
+        chosen = this.findEndpoint(now, pool, next)
+        return chosen !== undefined
       })
       if (task === undefined) return
       if (task.deadlineAt <= now) this.expire(now, task)
-      else if (place !== undefined) this.start(now, lane, task, place)
+      else if (chosen !== undefined) this.start(now, pool, task, chosen)
     }
   }
 
-  /** A queued task whose deadline has passed. */
+  /** Ends a queued task whose deadline has passed. */
   expire(now: number, task: TaskRecord): void {
     this.ctx.counters.expiredQueued++
     this.ends.settle(now, task, {
@@ -86,29 +86,33 @@
     })
   }
 
-  private findPlace(now: number, lane: ServiceLane, task: TaskRecord): EndpointRecord | undefined {
+  private findEndpoint(
+    now: number,
+    pool: ServiceLane,
+    task: TaskRecord,
+  ): EndpointRecord | undefined {
     const candidates = this.candidates
     candidates.length = 0
-    const count = lane.open.length
-    // The scan starts elsewhere each time, so that a bounded one is fair to all endpoints.
-    lane.cursor = (lane.cursor + 1) % count
-    for (let i = 0; i < count && candidates.length < this.ctx.limits.candidates; i++) {
-      const record = lane.open[(lane.cursor + i) % count]
-      if (record === undefined || !this.mayStart(now, record, task)) continue
-      if (avoids(now, lane, task, record)) continue
-      candidates.push(describe(now, lane, record, task))
+    const count = pool.openEndpoints.length
+    // The start of the scan rotates, so that a limited scan is fair to all endpoints.
+    pool.cursor = (pool.cursor + 1) % count
+    for (let i = 0; i < count && candidates.length < this.ctx.limits.maxCandidates; i++) {
+      const record = pool.openEndpoints[(pool.cursor + i) % count]
+      if (record === undefined || !this.isEligible(now, record, task)) continue
+      if (isAvoided(now, pool, task, record)) continue
+      candidates.push(updateCandidate(now, pool, record, task))
     }
     if (candidates.length === 0) return undefined
-    const moreOpen = candidates.length === this.ctx.limits.candidates
-    const outlook = new NextSlotOutlook(now, lane, moreOpen)
+    const hasMoreOpen = candidates.length === this.ctx.limits.maxCandidates
+    const outlook = new NextSlotOutlook(now, pool, hasMoreOpen)
     const pick = this.ctx.picker.pick(now, task, candidates, outlook)
     if (pick === undefined) this.heldBack++
     return pick === undefined ? undefined : this.ctx.endpoints.get(pick.endpoint)
   }
 
-  private mayStart(now: number, record: EndpointRecord, task: TaskRecord): boolean {
+  private isEligible(now: number, record: EndpointRecord, task: TaskRecord): boolean {
     if (record.reach !== EndpointReach.Reachable) return false
-    if (now < record.pausedUntil || now < record.holdUntil) return false
+    if (now < record.backoffUntil || now < record.handOverWaitUntil) return false
     if (record.isSilent(now, this.ctx.timing)) return false
     if (task.fencedAt.includes(record.endpoint)) return false
     if (!record.hasRoomFor(task.resources)) return false
@@ -117,7 +121,7 @@
     return state === HealthState.Healthy
   }
 
-  private start(now: number, lane: ServiceLane, task: TaskRecord, record: EndpointRecord): void {
+  private start(now: number, pool: ServiceLane, task: TaskRecord, record: EndpointRecord): void {
     const span = queueSpan(now, task)
     if (span !== undefined) this.ctx.outbox.push({ kind: OwnerActionKind.Span, span })
     task.phase = TaskPhase.Running
@@ -133,12 +137,17 @@
     record.occupy(task)
     countAtJob(task, record.endpoint, record.candidate.rack)
     this.ctx.counters.dispatched++
-    this.request(now, task, record, false)
+    this.sendRunRequest(now, task, record, false)
     record.due(Math.min(task.deadlineAt, now + this.ctx.timing.leaseMs / 2))
-    lane.refresh(record)
+    pool.refresh(record)
   }
 
-  private request(now: number, task: TaskRecord, record: EndpointRecord, join: boolean): void {
+  private sendRunRequest(
+    now: number,
+    task: TaskRecord,
+    record: EndpointRecord,
+    join: boolean,
+  ): void {
     const run = this.nextRun++
     task.requests = [...task.requests, run]
     record.openRuns.add(run)
@@ -162,22 +171,27 @@
   }
 }
 
-/** An endpoint that refused a task just now is not asked again while there are others. */
-function avoids(now: number, lane: ServiceLane, task: TaskRecord, record: EndpointRecord): boolean {
+/** Whether the endpoint refused the task recently and the service has other endpoints. */
+function isAvoided(
+  now: number,
+  pool: ServiceLane,
+  task: TaskRecord,
+  record: EndpointRecord,
+): boolean {
   if (task.refusedBy !== record.endpoint || now >= task.refusedUntil) return false
-  return lane.endpoints.size > 1
+  return pool.endpoints.size > 1
 }
 
-function describe(
+function updateCandidate(
   now: number,
-  lane: ServiceLane,
+  pool: ServiceLane,
   record: EndpointRecord,
   task: TaskRecord,
 ): PlacementCandidate {
   const candidate = record.candidate
   candidate.slots = record.slots
   candidate.busySlots = record.busySlots
-  candidate.slowness = lane.pace.slowness(now, record.endpoint)
+  candidate.slowness = pool.pace.slowness(now, record.endpoint)
   candidate.sameJobHere = task.job.spread?.atEndpoint(record.endpoint) ?? 0
   candidate.sameJobInRack = task.job.spread?.inRack(record.candidate.rack) ?? 0
   return candidate
--- a/packages/owner/src/lib/dispatch/NextSlotOutlook.ts
+++ b/packages/owner/src/lib/dispatch/NextSlotOutlook.ts
@@ -2,47 +2,47 @@
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import type { ServiceLane } from './ServiceLane'
 
-/** Endpoints this much slower than their peers are not worth waiting for. */
-const SLOW = 2
-/** Busy endpoints that are looked at; more would not change the expectation much. */
-const MAX_LOOKED_AT = 64
-/** A task that runs longer than expected is thought to need this share of that time still. */
-const OVERDUE_SHARE = 0.2
+/** Endpoints that are slower than their peers by this factor are not worth waiting for. */
+const STRAGGLER_SLOWNESS = 2
+/** Maximum number of busy endpoints that are scanned; more would hardly change the estimate. */
+const MAX_ENDPOINTS_SCANNED = 64
+/** Minimum share of its expected run time that a running task is assumed to need still. */
+const MIN_REMAINING_SHARE = 0.2
 
 /**
- * When a busy endpoint that is not slow is expected to have a free slot. The picker asks only when
- * just stragglers are free, so it is worked out only then.
+ * Estimates when a busy endpoint that is not slow will have a free slot. The estimate is computed
+ * on demand, since the picker needs it only when all free endpoints are stragglers.
  *
  * @internal
  */
 export class NextSlotOutlook implements PlacementOutlook {
   constructor(
     private readonly now: number,
-    private readonly lane: ServiceLane,
-    /** Whether there are open endpoints that the picker was not shown. */
-    private readonly moreOpen: boolean,
+    private readonly pool: ServiceLane,
+    /** Whether there may be open endpoints that are not among the picker's candidates. */
+    private readonly hasMoreOpen: boolean,
   ) {}
 
   get nextSlotMs(): number {
-    if (this.moreOpen) return 0
+    if (this.hasMoreOpen) return 0
     let soonest = Infinity
-    let lookedAt = 0
-    for (const record of this.lane.endpoints) {
+    let scanned = 0
+    for (const record of this.pool.endpoints) {
       if (record.openPosition >= 0 || record.leaving) continue
-      if (++lookedAt > MAX_LOOKED_AT) break
-      soonest = Math.min(soonest, this.nextSlotAt(record))
+      if (++scanned > MAX_ENDPOINTS_SCANNED) break
+      soonest = Math.min(soonest, this.nextSlotMsAt(record))
     }
     return soonest
   }
 
-  private nextSlotAt(record: EndpointRecord): number {
-    const slowness = this.lane.pace.slowness(this.now, record.endpoint)
-    if (slowness >= SLOW) return Infinity
+  private nextSlotMsAt(record: EndpointRecord): number {
+    const slowness = this.pool.pace.slowness(this.now, record.endpoint)
+    if (slowness >= STRAGGLER_SLOWNESS) return Infinity
     let soonest = Infinity
     for (const task of record.running.values()) {
-      const expected = task.estimateMs * this.lane.pace.bias * slowness
-      const left = expected - (this.now - task.dispatchedAt)
-      soonest = Math.min(soonest, Math.max(left, OVERDUE_SHARE * expected))
+      const expected = task.estimateMs * this.pool.pace.bias * slowness
+      const remaining = expected - (this.now - task.dispatchedAt)
+      soonest = Math.min(soonest, Math.max(remaining, MIN_REMAINING_SHARE * expected))
     }
     return soonest
   }
--- a/packages/owner/src/lib/endpointResults.ts
+++ b/packages/owner/src/lib/endpointResults.ts
@@ -1,33 +1,33 @@
 /** How a request to run a task at an endpoint ended. @public */
 export enum RunResultKind {
-  /** 200: it ran and answered. */
+  /** 200: the task ran and returned its output. */
   Succeeded = 'succeeded',
-  /** 500 with `ran: yes`: it ran and failed. */
+  /** 500 with `ran: yes`: the task ran and failed. */
   Failed = 'failed',
-  /** Refused with `ran: no`, fenced, or the connection was never made. */
+  /** Refused with `ran: no`, fenced, or the connection was never established. */
   NotRun = 'not_run',
-  /** 410: it ended, and the endpoint forgot its answer. */
+  /** 410: the task ended, and the endpoint no longer has its answer. */
   Unknown = 'unknown',
-  /** The connection broke after the request was on its way. */
+  /** The connection broke when the request may already have been received. */
   Lost = 'lost',
 }
 
 /** @public */
 export interface RunResult {
   readonly kind: RunResultKind
-  /** JSON text of the output; empty unless it succeeded. */
+  /** JSON text of the output; empty unless the task succeeded. */
   readonly output: string
-  /** One sentence for people. */
+  /** Human-readable explanation, one sentence. */
   readonly detail: string
-  /** Run time as the endpoint measured it, in milliseconds; 0 when unknown. */
+  /** Run time as measured by the endpoint, in milliseconds; 0 if unknown. */
   readonly runMs: number
-  /** Whether the endpoint answered at all, if only with a refusal. */
+  /** Whether the endpoint answered at all, even with a refusal. */
   readonly answered: boolean
 }
 
-/** What an endpoint says of a task it was told to stop. @public */
+/** State of a task, as an endpoint reports it in answer to a stop request. @public */
 export enum StopState {
-  /** It was never started here, and is fenced now. */
+  /** The endpoint never started it, and has now fenced its id. */
   NeverSeen = 'never_seen',
   /** It was running and is stopped now. */
   Stopped = 'stopped',
--- a/packages/owner/src/lib/endpoints/EndpointDirectory.ts
+++ b/packages/owner/src/lib/endpoints/EndpointDirectory.ts
@@ -9,14 +9,19 @@
 import { CROSSING_MS } from '../recovery/crossing'
 import { EndpointReach, EndpointRecord } from './EndpointRecord'
 
-/** By then a request has reached its endpoint, and the next heartbeat lists it. */
-const ARRIVAL_MS = 300
-/** Endpoints that were passed on lately are remembered up to this number. */
-const MAX_FORWARDED = 10_000
-
-/** Makes endpoints known by their heartbeats alone, and passes on those of others. @internal */
+/** Time within which a request arrives at its endpoint; the next heartbeat lists its task. */
+const REQUEST_ARRIVAL_MS = 300
+/** Maximum number of endpoints whose latest forwarded heartbeat is remembered. */
+const MAX_FORWARDED_ENDPOINTS = 10_000
+
+/**
+ * Learns endpoints from their heartbeats alone, and forwards heartbeats of endpoints that another
+ * instance owns.
+ *
+ * @internal
+ */
 export class EndpointDirectory {
-  /** When a heartbeat of an endpoint was passed on last, and whether it said `leaving`. */
+  /** Per endpoint, when a heartbeat was last forwarded, and whether it said `leaving`. */
   private readonly forwarded = new Map<string, { at: number; leaving: boolean }>()
 
   constructor(
@@ -33,59 +38,58 @@
     }
     const { endpoint, service, zone } = announcement
     const owner = this.ctx.ownership.ownerOf(endpoint, service, zone)
-    if (owner !== this.ctx.instance) this.passOn(now, announcement, owner, forwardedBy)
-    else if (record !== undefined) this.takeBack(now, record, announcement)
+    if (owner !== this.ctx.instance) this.forward(now, announcement, owner, forwardedBy)
+    else if (record !== undefined) this.reclaim(now, record, announcement)
     else this.add(now, announcement)
   }
 
-  /** Takes an endpoint in that is not known here. */
+  /** Adds an endpoint that is not known here. */
   add(now: number, announcement: EndpointAnnouncement): EndpointRecord {
     const record = new EndpointRecord(announcement, now)
-    const { settleMs } = this.ctx.timing
-    // Its old owner, if it lives, may have dispatched what no heartbeat listed yet.
-    const old = this.ctx.ownership.livePredecessorOf(now, 2 * settleMs, announcement)
-    if (old !== undefined) record.holdUntil = now + settleMs
+    const { handOverWaitMs } = this.ctx.timing
+    // The previous owner, if alive, may have dispatched tasks that no heartbeat has listed yet.
+    const predecessor = this.ctx.ownership.livePredecessorOf(now, 2 * handOverWaitMs, announcement)
+    if (predecessor !== undefined) record.handOverWaitUntil = now + handOverWaitMs
     this.ctx.endpoints.set(record.endpoint, record)
-    this.own(now, record)
+    this.startOwning(now, record)
     return record
   }
 
-  /** Takes an endpoint back that was handed over before its last task from here ended. */
-  takeBack(now: number, record: EndpointRecord, announcement: EndpointAnnouncement): void {
+  /** Resumes ownership of an endpoint that was handed over and still runs tasks from here. */
+  reclaim(now: number, record: EndpointRecord, announcement: EndpointAnnouncement): void {
     record.owned = true
     record.successor = undefined
-    this.own(now, record)
+    this.startOwning(now, record)
     this.update(now, record, announcement)
   }
 
-  /** Forgets an endpoint. */
   remove(record: EndpointRecord): void {
     this.ctx.endpoints.delete(record.endpoint)
-    this.disown(record)
+    this.stopOwning(record)
   }
 
-  /** It gets no work from here any more. */
-  disown(record: EndpointRecord): void {
+  /** Stops dispatching to an endpoint. */
+  stopOwning(record: EndpointRecord): void {
     this.ctx.health.remove(record.endpoint)
-    const lane = this.ctx.lanes.get(record.service)
-    if (lane === undefined) return
-    lane.removeEndpoint(record)
-    this.ctx.dirtyLanes.add(lane)
-    if (lane.isEmpty) this.ctx.lanes.delete(record.service)
+    const pool = this.ctx.lanes.get(record.service)
+    if (pool === undefined) return
+    pool.removeEndpoint(record)
+    this.ctx.dirtyPools.add(pool)
+    if (pool.isEmpty) this.ctx.lanes.delete(record.service)
   }
 
-  /** Forgets endpoints that were silent for long and run nothing from here. */
-  forgetIfGone(now: number, record: EndpointRecord): void {
+  /** Removes an endpoint that runs no task from here and was handed over or silent for long. */
+  removeIfGone(now: number, record: EndpointRecord): void {
     if (record.running.size > 0) return
     const { endpointTimeoutMs, forgetEndpointMs } = this.ctx.timing
     const limit = record.leaving ? endpointTimeoutMs : forgetEndpointMs
     if (!record.owned || now - record.lastHeartbeatAt >= limit) this.remove(record)
   }
 
-  private own(now: number, record: EndpointRecord): void {
+  private startOwning(now: number, record: EndpointRecord): void {
     this.ctx.health.add(record.endpoint, record.service)
     this.ctx.lane(record.service).addEndpoint(record)
-    this.hold(now, record)
+    this.updateHeldSlots(now, record)
     this.ctx.refresh(record)
   }
 
@@ -95,54 +99,57 @@
       return
     }
     const restarted = announcement.boot > record.boot
-    if (announcement.service !== record.service) this.moveService(record, announcement.service)
+    if (announcement.service !== record.service) this.changeService(record, announcement.service)
     record.announcement = announcement
     record.candidate.rack = announcement.rack
     record.lastHeartbeatAt = now
-    if (restarted) this.restart(now, record)
+    if (restarted) this.handleRestart(now, record)
     if (announcement.state === EndpointState.LEAVING) record.leaving = true
-    // It sends, so it may be reached again as well.
+    // The endpoint sends heartbeats, so it may be reachable again.
     if (record.reach === EndpointReach.Unreachable) record.nextProbeAt = now
     this.confirmFences(now, record)
-    this.doubtUnlisted(now, record)
-    this.hold(now, record)
+    this.markUnlisted(now, record)
+    this.updateHeldSlots(now, record)
     this.ctx.refresh(record)
   }
 
-  private moveService(record: EndpointRecord, service: string): void {
-    this.disown(record)
+  private changeService(record: EndpointRecord, service: string): void {
+    this.stopOwning(record)
     record.service = service
     this.ctx.health.add(record.endpoint, service)
     this.ctx.lane(service).addEndpoint(record)
   }
 
-  /** A new process answers at the endpoint: what the old one ran is gone with it. */
-  private restart(now: number, record: EndpointRecord): void {
+  /** A new process runs at the endpoint: the tasks of the previous one ended with it. */
+  private handleRestart(now: number, record: EndpointRecord): void {
     this.ctx.counters.endpointRestarts++
     record.boot = record.announcement.boot
     record.leaving = false
     record.held.clear()
-    record.pausedUntil = 0
+    record.backoffUntil = 0
     record.refusals = 0
     const running = new Set(record.announcement.runningTaskIds)
     for (const task of [...record.running.values()]) {
       if (running.has(task.taskId)) task.endpointBoot = record.boot
-      else this.loseTask(now, record, task)
+      else this.endAfterRestart(now, record, task)
     }
   }
 
-  private loseTask(now: number, record: EndpointRecord, task: TaskRecord): void {
+  private endAfterRestart(now: number, record: EndpointRecord, task: TaskRecord): void {
     if (task.phase !== TaskPhase.Running) {
       this.ends.settle(now, task, restartedEnd)
       return
     }
-    // Its request may have found the old process gone, which is "not run", or the new one.
+    // The request may have found the old process gone, which means "not run", or the new one.
     const until = now + this.ctx.timing.restartGraceMs
     task.lastChance = { until, end: restartedEnd }
     record.due(until)
   }
 
-  /** A heartbeat of the same boot, sent after the endpoint answered "never seen", proves it. */
+  /**
+   * Confirms fences for which the endpoint answered "never seen": a later heartbeat of the same
+   * boot proves that the endpoint had not restarted.
+   */
   private confirmFences(now: number, record: EndpointRecord): void {
     for (const task of [...record.running.values()]) {
       if (task.phase !== TaskPhase.Confirming || now < task.recheckAt) continue
@@ -151,14 +158,15 @@
   }
 
   /**
-   * A running task that a heartbeat does not list has ended or never arrived: its connection may
-   * be silent. It is looked into once its answer had time to come; that costs no message before.
+   * Marks running tasks that a heartbeat does not list: such a task has ended or never arrived, and
+   * its connection may be dead. The endpoint is asked about it only after its answer had time to
+   * arrive, so that the usual case costs no message.
    */
-  private doubtUnlisted(now: number, record: EndpointRecord): void {
+  private markUnlisted(now: number, record: EndpointRecord): void {
     if (record.running.size === 0) return
     const listed = new Set(record.announcement.runningTaskIds)
     for (const task of record.running.values()) {
-      const arrived = now - task.dispatchedAt >= ARRIVAL_MS
+      const arrived = now - task.dispatchedAt >= REQUEST_ARRIVAL_MS
       if (listed.has(task.taskId)) task.doubtedAt = undefined
       else if (arrived && task.phase === TaskPhase.Running && !task.vouched) {
         task.doubtedAt ??= now
@@ -167,8 +175,8 @@
     }
   }
 
-  /** Running tasks that were not dispatched from here hold slots too. */
-  private hold(now: number, record: EndpointRecord): void {
+  /** Reserves slots for running tasks that were not dispatched from here. */
+  private updateHeldSlots(now: number, record: EndpointRecord): void {
     const until = now + this.ctx.timing.endpointTimeoutMs
     const running = record.announcement.runningTaskIds
     for (const taskId of running) {
@@ -183,7 +191,7 @@
     }
   }
 
-  private passOn(
+  private forward(
     now: number,
     announcement: EndpointAnnouncement,
     owner: string | undefined,
@@ -192,7 +200,7 @@
     const { endpoint } = announcement
     const leaving = announcement.state === EndpointState.LEAVING
     const last = this.forwarded.get(endpoint)
-    // Two instances that take each other for the owner must not pass one heartbeat to and fro.
+    // Prevents two instances that consider each other the owner from forwarding in a loop.
     const tooSoon = last !== undefined && now - last.at < this.ctx.timing.heartbeatMs / 2
     const repeated = tooSoon && last.leaving === leaving
     if (owner === undefined || forwardedBy !== undefined || repeated) {
@@ -200,7 +208,7 @@
       return
     }
     this.forwarded.delete(endpoint)
-    if (this.forwarded.size >= MAX_FORWARDED) this.forwarded.clear()
+    if (this.forwarded.size >= MAX_FORWARDED_ENDPOINTS) this.forwarded.clear()
     this.forwarded.set(endpoint, { at: now, leaving })
     this.ctx.counters.forwardedHeartbeats++
     this.ctx.outbox.send(owner, { case: 'forwardHeartbeat', value: { announcement } })
--- a/packages/owner/src/lib/endpoints/EndpointProbes.ts
+++ b/packages/owner/src/lib/endpoints/EndpointProbes.ts
@@ -3,49 +3,49 @@
 import type { EndpointRecord } from './EndpointRecord'
 import { EndpointReach } from './EndpointRecord'
 
-const FIRST_PAUSE_MS = 50
-const MAX_PAUSE_MS = 2000
+const INITIAL_BACKOFF_MS = 50
+const MAX_BACKOFF_MS = 2000
 
-/** Finds out on a new connection whether a silent or refusing endpoint answers. @internal */
+/** Probes silent or refusing endpoints on a new connection. @internal */
 export class EndpointProbes {
   constructor(private readonly ctx: OwnerContext) {}
 
-  /** Looks for silence, and repeats probes of an endpoint that did not answer. */
-  tend(now: number, record: EndpointRecord): void {
+  /** Probes an endpoint that has gone silent, and repeats failed probes. */
+  check(now: number, record: EndpointRecord): void {
     const { askTimeoutMs, suspectAfterMs } = this.ctx.timing
-    const askedAt = record.probeAskedAt
-    if (askedAt !== undefined) {
-      if (now - askedAt >= askTimeoutMs) this.ended(now, record, false)
+    const sentAt = record.probeSentAt
+    if (sentAt !== undefined) {
+      if (now - sentAt >= askTimeoutMs) this.onProbeEnded(now, record, false)
       return
     }
     if (record.reach === EndpointReach.Unreachable) {
-      if (now >= record.nextProbeAt) this.ask(now, record)
+      if (now >= record.nextProbeAt) this.sendProbe(now, record)
       return
     }
     const heardAt = Math.max(record.lastHeartbeatAt, record.probedAliveAt)
-    if (record.owned && now - heardAt >= suspectAfterMs) this.ask(now, record)
+    if (record.owned && now - heardAt >= suspectAfterMs) this.sendProbe(now, record)
   }
 
-  /** A request was lost or refused, or a question unanswered: no new work until a probe answers. */
+  /** Withholds work until a probe succeeds, after a lost, refused or unanswered request. */
   suspect(now: number, record: EndpointRecord): void {
     if (record.reach === EndpointReach.Unreachable) return
     record.reach = EndpointReach.Suspect
-    if (record.probeAskedAt === undefined) this.ask(now, record)
+    if (record.probeSentAt === undefined) this.sendProbe(now, record)
   }
 
-  /** It refused though it seemed to have a free slot: it gets a pause that grows. */
+  /** Pauses dispatch with growing backoff, after a refusal despite an apparently free slot. */
   refused(now: number, record: EndpointRecord): void {
-    const pause = Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** record.refusals)
+    const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** record.refusals)
     record.refusals++
-    record.pausedUntil = now + pause
+    record.backoffUntil = now + backoffMs
   }
 
-  ended(now: number, record: EndpointRecord, alive: boolean): void {
-    if (record.probeAskedAt === undefined) {
+  onProbeEnded(now: number, record: EndpointRecord, alive: boolean): void {
+    if (record.probeSentAt === undefined) {
       this.ctx.counters.lateAnswers++
       return
     }
-    record.probeAskedAt = undefined
+    record.probeSentAt = undefined
     record.reach = alive ? EndpointReach.Reachable : EndpointReach.Unreachable
     if (alive) {
       record.probedAliveAt = now
@@ -54,8 +54,8 @@
     this.ctx.refresh(record)
   }
 
-  private ask(now: number, record: EndpointRecord): void {
-    record.probeAskedAt = now
+  private sendProbe(now: number, record: EndpointRecord): void {
+    record.probeSentAt = now
     if (record.reach === EndpointReach.Reachable) record.reach = EndpointReach.Suspect
     this.ctx.counters.probes++
     const { endpoint, address } = record
--- a/packages/owner/src/lib/endpoints/EndpointRecord.ts
+++ b/packages/owner/src/lib/endpoints/EndpointRecord.ts
@@ -5,67 +5,67 @@
 import type { TaskRecord } from '../tasks/TaskRecord'
 import { CONTROL_CONNECTIONS } from './connectionShares'
 
-/** Whether an endpoint answers. @public */
+/** Whether an endpoint can be reached. @public */
 export enum EndpointReach {
   Reachable = 'reachable',
-  /** It was silent or refused a connection; a probe is on its way, and it gets no work till then. */
+  /** Silent, or a request failed; it gets no work until the probe in flight is answered. */
   Suspect = 'suspect',
   /** A probe failed. */
   Unreachable = 'unreachable',
 }
 
-/** A slot that a task of another owner holds. @internal */
+/** A slot held by a task of another owner. @internal */
 export interface HeldSlot {
-  /** The slot counts as free after this. */
+  /** Time after which the slot counts as free. */
   readonly until: number
-  /** Whether a heartbeat listed it. */
+  /** Whether a heartbeat listed the task. */
   readonly listed: boolean
 }
 
-/** The picker's view of an endpoint, kept and filled in anew for each task. */
+/** The picker's view of an endpoint, one object that is updated for each task. */
 type MutableCandidate = { -readonly [K in keyof PlacementCandidate]: PlacementCandidate[K] }
 
-/** One endpoint as its owner knows it. @internal */
+/** An endpoint as its owner knows it. @internal */
 export class EndpointRecord {
   readonly endpoint: string
   service: string
-  /** False once it was handed over; its tasks from here still run. */
+  /** False once the endpoint was handed over, while tasks from here still run there. */
   owned = true
-  /** The owner it was handed over to. */
+  /** The owner to which the endpoint was handed over. */
   successor: string | undefined
   boot: number
-  /** Leaving is for good within one boot, so that a heartbeat that comes late changes nothing. */
+  /** Never reset within one boot, so that a late heartbeat cannot revert it. */
   leaving: boolean
   reach = EndpointReach.Reachable
-  probeAskedAt: number | undefined
+  probeSentAt: number | undefined
   nextProbeAt = 0
   probedAliveAt = 0
-  /** It gets no work before this, after refusals. */
-  pausedUntil = 0
+  /** Time before which the endpoint gets no work, after refusals. */
+  backoffUntil = 0
   refusals = 0
-  /** It gets no work before this, or the hand-over by its old owner. */
-  holdUntil = 0
+  /** Time before which it gets no work, unless its previous owner hands it over earlier. */
+  handOverWaitUntil = 0
   /** Tasks dispatched from here that may hold a slot. */
   readonly running = new Map<string, TaskRecord>()
-  /** Slots that tasks of other owners hold, by task id. */
+  /** Slots held by tasks of other owners, by task id. */
   readonly held = new Map<string, HeldSlot>()
-  /** Connections of its old owner. */
+  /** Connections that the previous owner still holds. */
   heldConnections = 0
-  heldBy: string | undefined
-  /** Numbers of the open requests. */
+  heldConnectionsOwner: string | undefined
+  /** Numbers of the open run requests. */
   readonly openRuns = new Set<number>()
   usedCores = 0
   usedMemoryMb = 0
   usedAccelerators = 0
-  /** Ids that wait for the next StopTasks, and those of the one that is open. */
+  /** Task ids for the next StopTasks; those of the one in flight are in `stopsInFlight`. */
   readonly pendingStops = new Set<string>()
   stopsAsked: readonly string[] | undefined
   stopsAskedAt = 0
   renewAsked: readonly string[] | undefined
   renewAskedAt = 0
-  /** Earliest instant at which something about it is due. */
+  /** Earliest time at which a lease, deadline or query of its tasks needs attention. */
   dueAt = Infinity
-  /** Position in its lane's list of endpoints with a free slot; -1 when it has none. */
+  /** Position in its pool's list of endpoints with a free slot; -1 when it has none. */
   openPosition = -1
   readonly candidate: MutableCandidate
 
@@ -100,17 +100,17 @@
     return this.running.size + this.held.size
   }
 
-  /** Connections that this owner may hold in all. */
+  /** Maximum number of connections that this owner may hold. */
   get maxConnections(): number {
     return Math.max(1, this.announcement.connections - this.heldConnections)
   }
 
-  /** Connections for running tasks; some are kept for stops, leases and probes. */
+  /** Connections for running tasks; the others are reserved for stops, leases and probes. */
   get runConnections(): number {
     return Math.max(1, this.maxConnections - CONTROL_CONNECTIONS)
   }
 
-  /** Slots where a task could start now, by the numbers alone. */
+  /** Slots in which a task could start now, as far as slots and connections go. */
   get freeSlots(): number {
     if (!this.owned || this.leaving) return 0
     const slots = this.slots - this.busySlots
@@ -118,7 +118,7 @@
     return Math.max(0, Math.min(slots, connections))
   }
 
-  /** Whether the worker, empty, could run a task of this size. */
+  /** Whether the endpoint, when idle, has enough resources for a task. */
   couldHold(resources: Resources | undefined): boolean {
     const capacity = this.announcement.capacity
     if (resources === undefined || capacity === undefined) return true
@@ -129,43 +129,46 @@
     )
   }
 
-  /** Whether what is left of the worker holds a task of this size. */
+  /** Whether the resources that are not in use are enough for a task. */
   hasRoomFor(resources: Resources | undefined): boolean {
     const capacity = this.announcement.capacity
     if (resources === undefined || capacity === undefined) return true
-    // What tasks of other owners use is not known here: each counts as one slot's share.
-    const share = this.held.size / Math.max(1, this.slots)
+    // The resources used by other owners' tasks are unknown; each counts as one slot's share.
+    const heldShare = this.held.size / Math.max(1, this.slots)
     return (
-      fits(resources.cores, this.usedCores, capacity.cores, share) &&
-      fits(resources.memoryMb, this.usedMemoryMb, capacity.memoryMb, share) &&
-      fits(resources.accelerators, this.usedAccelerators, capacity.accelerators, share)
+      fits(resources.cores, this.usedCores, capacity.cores, heldShare) &&
+      fits(resources.memoryMb, this.usedMemoryMb, capacity.memoryMb, heldShare) &&
+      fits(resources.accelerators, this.usedAccelerators, capacity.accelerators, heldShare)
     )
   }
 
   occupy(task: TaskRecord): void {
     this.running.set(task.taskId, task)
-    this.use(task.resources, 1)
+    this.addUsage(task.resources, 1)
   }
 
   vacate(task: TaskRecord): void {
     if (!this.running.delete(task.taskId)) return
-    this.use(task.resources, -1)
+    this.addUsage(task.resources, -1)
     this.pendingStops.delete(task.taskId)
   }
 
-  /** Nothing was heard of it for so long that it gets no work, till a probe answers at least. */
+  /**
+   * Whether the endpoint has been silent for so long that it gets no work: until a probe succeeds,
+   * or after `endpointTimeoutMs` until its next heartbeat.
+   */
   isSilent(now: number, timing: OwnerTiming): boolean {
     if (now - this.lastHeartbeatAt >= timing.endpointTimeoutMs) return true
     const heardAt = Math.max(this.lastHeartbeatAt, this.probedAliveAt)
     return now - heardAt >= timing.suspectAfterMs
   }
 
-  /** Asks to be looked at again at an instant, unless that happens before. */
+  /** Schedules a check of the endpoint at the given time, unless an earlier one is scheduled. */
   due(at: number): void {
     if (at < this.dueAt) this.dueAt = at
   }
 
-  private use(resources: Resources | undefined, sign: 1 | -1): void {
+  private addUsage(resources: Resources | undefined, sign: 1 | -1): void {
     if (resources === undefined) return
     this.usedCores += sign * resources.cores
     this.usedMemoryMb += sign * resources.memoryMb
@@ -173,10 +176,10 @@
   }
 }
 
-/** Sums of fractions drift a little; a task must not wait for that. */
-const ROUNDING = 1e-6
+/** Tolerance for rounding errors in sums of fractions, so that a task does not wait for them. */
+const ROUNDING_TOLERANCE = 1e-6
 
 function fits(asked: number, used: number, capacity: number, share: number): boolean {
   if (asked <= 0) return true
-  return asked <= capacity * (1 - share) - used + ROUNDING
+  return asked <= capacity * (1 - share) - used + ROUNDING_TOLERANCE
 }
--- a/packages/owner/src/lib/endpoints/OwnershipView.ts
+++ b/packages/owner/src/lib/endpoints/OwnershipView.ts
@@ -3,12 +3,12 @@
 import { ownershipShard, pickOwner } from '@cherryhitch/policy'
 import { InstanceState } from '@cherryhitch/protocol'
 
-/** Which instance owns which endpoint, by the members and the preset known here. @internal */
+/** Computes the owner of each endpoint from the members and preset known here. @internal */
 export class OwnershipView {
   private members: readonly InstanceView[] = []
   private previous: ReadonlyMap<string, readonly string[]> = new Map()
   private current: ReadonlyMap<string, readonly string[]> = new Map()
-  private selfLeaves = false
+  private isDraining = false
   private changedAt = -Infinity
 
   constructor(
@@ -32,9 +32,9 @@
     return changed
   }
 
-  /** This instance drains: it owns nothing from now on. */
-  leave(now: number): void {
-    this.selfLeaves = true
+  /** Excludes this instance, which is draining, from ownership. */
+  startDraining(now: number): void {
+    this.isDraining = true
     this.recompute(now)
   }
 
@@ -42,7 +42,7 @@
     return this.pick(endpoint, service, this.current.get(zone) ?? [])
   }
 
-  /** The owner before a change within the last `withinMs`, if it is alive and somebody else. */
+  /** The owner before a change within the last `withinMs`, if it is another live instance. */
   livePredecessorOf(
     now: number,
     withinMs: number,
@@ -58,7 +58,7 @@
     return this.members.some((member) => member.instance === instance && member.alive)
   }
 
-  /** Boot of a live instance; 0 when it is not known. */
+  /** Boot number of an instance; 0 if it is not known. */
   bootOf(instance: string): number {
     return this.members.find((member) => member.instance === instance)?.boot ?? 0
   }
@@ -83,19 +83,19 @@
   private candidates(): ReadonlyMap<string, readonly string[]> {
     const zones = new Map<string, string[]>()
     for (const member of this.members) {
-      if (!this.mayOwn(member)) continue
+      if (!this.isCandidate(member)) continue
       const instances = zones.get(member.zone) ?? []
       instances.push(member.instance)
       zones.set(member.zone, instances)
     }
-    // An instance that was told of nobody yet, not even of itself, works alone.
-    if (this.members.length === 0 && !this.selfLeaves) zones.set(this.zone, [this.instance])
+    // Before its first list of members, which includes itself, an instance works alone.
+    if (this.members.length === 0 && !this.isDraining) zones.set(this.zone, [this.instance])
     for (const instances of zones.values()) instances.sort()
     return zones
   }
 
-  private mayOwn(member: InstanceView): boolean {
-    if (member.instance === this.instance && this.selfLeaves) return false
+  private isCandidate(member: InstanceView): boolean {
+    if (member.instance === this.instance && this.isDraining) return false
     return (member.alive || member.self) && member.state === InstanceState.SERVING
   }
 }
--- a/packages/owner/src/lib/endpoints/connectionShares.ts
+++ b/packages/owner/src/lib/endpoints/connectionShares.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to an endpoint that are kept for stops, leases and probes, so that these never wait
- * behind running tasks. Users' endpoints take 64 connections for 8 slots.
+ * Connections to an endpoint that are reserved for stops, leases and probes, so that these never
+ * wait behind running tasks. The users' endpoints accept 64 connections for 8 slots.
  *
  * @internal
  */
--- a/packages/owner/src/lib/handover/HandOver.ts
+++ b/packages/owner/src/lib/handover/HandOver.ts
@@ -13,8 +13,8 @@
 import type { OwnerContext } from '../OwnerContext'
 
 /**
- * Moves endpoints between owners. The old owner finishes what it dispatched and says which slots
- * it still uses; the new one starts nothing on those.
+ * Moves endpoints between owners. The old owner finishes the tasks that it dispatched, and reports
+ * which slots they hold; the new owner starts nothing in those slots.
  *
  * @internal
  */
@@ -24,7 +24,7 @@
     private readonly directory: EndpointDirectory,
   ) {}
 
-  /** Hands over each endpoint whose owner is another instance by now. */
+  /** Hands over each endpoint that another instance should own now. */
   rebalance(now: number): void {
     const moved = new Map<string, HandedEndpoint[]>()
     for (const record of this.ctx.endpoints.values()) {
@@ -33,7 +33,7 @@
       if (owner === undefined || owner === this.ctx.instance) continue
       const silentMs = now - record.lastHeartbeatAt
       const endpoint = this.handOver(record, owner)
-      // The new owner would take a silent endpoint for a fresh one.
+      // The new owner would treat a silent endpoint as one that has just sent a heartbeat.
       if (silentMs >= this.ctx.timing.endpointTimeoutMs) continue
       const handed = moved.get(owner) ?? []
       handed.push(endpoint)
@@ -44,21 +44,25 @@
     }
   }
 
-  /** Connections and slots of instances that died are free, but for what the endpoint lists. */
-  forgetDeadHolders(): void {
+  /** Frees connections held by dead instances; their slots are freed by heartbeats or time-out. */
+  clearDeadHolders(): void {
     for (const record of this.ctx.endpoints.values()) {
-      if (record.heldBy === undefined || this.ctx.ownership.isAlive(record.heldBy)) continue
-      record.heldBy = undefined
+      if (
+        record.heldConnectionsOwner === undefined ||
+        this.ctx.ownership.isAlive(record.heldConnectionsOwner)
+      )
+        continue
+      record.heldConnectionsOwner = undefined
       record.heldConnections = 0
       this.ctx.refresh(record)
     }
   }
 
-  /** Takes endpoints from their old owner. */
+  /** Takes over endpoints from their previous owner. */
   takeOver(now: number, from: string, handed: HandOverEndpoints): void {
     for (const { announcement, dispatchedTaskIds, connectionsHeld } of handed.endpoints) {
       if (announcement === undefined) continue
-      const record = this.recordFor(now, announcement)
+      const record = this.ownedRecordFor(now, announcement)
       if (record === undefined) continue
       this.ctx.counters.endpointsTakenOver++
       const until = now + this.ctx.timing.leaseMs + this.ctx.timing.leaseSlackMs
@@ -66,30 +70,30 @@
         const listed = record.held.get(taskId)?.listed ?? false
         if (!record.running.has(taskId)) record.held.set(taskId, { until, listed })
       }
-      record.heldBy = connectionsHeld > 0 ? from : undefined
+      record.heldConnectionsOwner = connectionsHeld > 0 ? from : undefined
       record.heldConnections = connectionsHeld
-      record.holdUntil = 0
+      record.handOverWaitUntil = 0
       this.ctx.refresh(record)
     }
-    // This instance may leave, or know better: then the endpoint moves on.
+    // If this instance is draining itself, the endpoints move on to their next owner.
     if (this.ctx.draining) this.rebalance(now)
   }
 
-  /** Tasks of the old owner ended. */
-  released(from: string, release: ReleaseSlots): void {
+  /** Frees the slots of the previous owner's tasks that have ended. */
+  applyRelease(from: string, release: ReleaseSlots): void {
     const record = this.ctx.endpoints.get(release.endpoint)
     if (record?.owned !== true) return
     for (const taskId of release.taskIds) record.held.delete(taskId)
-    if (record.heldBy === from) record.heldConnections = release.connectionsHeld
+    if (record.heldConnectionsOwner === from) record.heldConnections = release.connectionsHeld
     this.ctx.refresh(record)
   }
 
-  /** Tells new owners which of the slots they wait for are free now. */
-  flushReleases(): void {
+  /** Tells new owners which held slots have become free. */
+  sendReleases(): void {
     for (const [endpoint, taskIds] of this.ctx.releasedSlots) {
       const record = this.ctx.endpoints.get(endpoint)
       if (record?.successor === undefined) continue
-      const connectionsHeld = connectionsOf(record)
+      const connectionsHeld = countHeldConnections(record)
       const value = { endpoint, taskIds, connectionsHeld }
       this.ctx.outbox.send(record.successor, { case: 'releaseSlots', value })
       if (record.running.size > 0) continue
@@ -99,13 +103,13 @@
     this.ctx.releasedSlots.clear()
   }
 
-  /** Slots whose holders neither ended nor were listed again are free after their time. */
-  expireHeld(now: number, record: EndpointRecord): void {
+  /** Frees held slots whose task was neither released nor listed again in time. */
+  expireHeldSlots(now: number, record: EndpointRecord): void {
     if (record.held.size === 0 && record.heldConnections === 0) return
     for (const [taskId, slot] of record.held) {
       if (slot.until <= now) record.held.delete(taskId)
     }
-    // Without tasks there, the old owner has no use for connections; its word of it may be lost.
+    // Without tasks, the previous owner needs no connections; its release may have been lost.
     if (record.held.size === 0) record.heldConnections = 0
     this.ctx.refresh(record)
   }
@@ -118,36 +122,39 @@
     this.ctx.counters.endpointsHandedOver++
     record.owned = false
     record.successor = owner
-    this.directory.disown(record)
-    this.noteSuccessor(record.service, owner)
+    this.directory.stopOwning(record)
+    this.addSuccessor(record.service, owner)
     const { endpoint, announcement } = record
     if (record.running.size === 0) this.ctx.endpoints.delete(endpoint)
     this.ctx.outbox.push({ kind: OwnerActionKind.CloseIdle, endpoint })
     return create(HandedEndpointSchema, {
       announcement,
       dispatchedTaskIds: [...record.running.keys(), ...record.held.keys()],
-      connectionsHeld: connectionsOf(record),
+      connectionsHeld: countHeldConnections(record),
     })
   }
 
-  private noteSuccessor(service: string, owner: string): void {
+  private addSuccessor(service: string, owner: string): void {
     const owners = this.ctx.successors.get(service)
     if (owners === undefined) this.ctx.successors.set(service, new Set([owner]))
     else owners.add(owner)
   }
 
-  private recordFor(now: number, announcement: EndpointAnnouncement): EndpointRecord | undefined {
+  private ownedRecordFor(
+    now: number,
+    announcement: EndpointAnnouncement,
+  ): EndpointRecord | undefined {
     const known = this.ctx.endpoints.get(announcement.endpoint)
     if (known === undefined) return this.directory.add(now, announcement)
     if (announcement.boot < known.boot) return undefined
-    if (!known.owned) this.directory.takeBack(now, known, announcement)
+    if (!known.owned) this.directory.reclaim(now, known, announcement)
     return known
   }
 }
 
 /** Connections that this owner still holds to an endpoint, those for renewals and stops included. */
-function connectionsOf(record: EndpointRecord): number {
-  // Requests that are still open without a task were dropped, and close on their own.
+function countHeldConnections(record: EndpointRecord): number {
+  // Requests that are still open without a task were aborted, and their connections close.
   if (record.running.size === 0) return 0
   return record.openRuns.size + CONTROL_CONNECTIONS
 }
--- a/packages/owner/src/lib/handover/QueueMover.ts
+++ b/packages/owner/src/lib/handover/QueueMover.ts
@@ -9,12 +9,12 @@
 
 /**
  * Empties the queue of a service that has no endpoint here any more, or of a draining owner: the
- * tasks go to the new owner, or are reported as truly not run when there is none.
+ * tasks are forwarded to the new owner, or reported as not run if there is none.
  *
  * @internal
  */
 export class QueueMover {
-  private turn = 0
+  private nextTarget = 0
 
   constructor(
     private readonly ctx: OwnerContext,
@@ -22,38 +22,38 @@
   ) {}
 
   run(now: number): void {
-    for (const lane of this.ctx.dirtyLanes) {
-      const stays = lane.endpoints.size > 0 && !this.ctx.draining
-      if (!stays && lane.queue.size > 0) this.empty(now, lane)
+    for (const pool of this.ctx.dirtyPools) {
+      const isServedHere = pool.endpoints.size > 0 && !this.ctx.draining
+      if (!isServedHere && pool.queue.size > 0) this.emptyQueue(now, pool)
     }
   }
 
-  /** Reports every waiting task of a service as truly not run. */
-  refuseAll(now: number, lane: ServiceLane, reason: Reason, detail: string): void {
+  /** Reports every queued task of a service as not run. */
+  refuseAll(now: number, pool: ServiceLane, reason: Reason, detail: string): void {
     const retryAfterMs = this.ctx.timing.heartbeatMs
-    for (const task of takeAll(lane)) {
+    for (const task of takeAll(pool)) {
       this.ends.settle(now, task, { outcome: Outcome.NOT_RUN, reason, detail, retryAfterMs })
     }
   }
 
-  private empty(now: number, lane: ServiceLane): void {
-    const targets = this.ctx.successorsOf(lane.service)
+  private emptyQueue(now: number, pool: ServiceLane): void {
+    const targets = this.ctx.successorsOf(pool.service)
     if (targets.length === 0) {
       const reason = this.ctx.draining ? Reason.DRAINING : Reason.NO_ENDPOINT
-      this.refuseAll(now, lane, reason, 'Nobody here serves the queue any more.')
+      this.refuseAll(now, pool, reason, 'Nobody here serves the queue any more.')
       return
     }
-    for (const [job, tasks] of groupBy(takeAll(lane), (task) => task.job)) {
-      const target = targets[this.turn++ % targets.length]
-      if (target !== undefined) this.passOn(now, target, job, tasks)
+    for (const [job, tasks] of groupBy(takeAll(pool), (task) => task.job)) {
+      const target = targets[this.nextTarget++ % targets.length]
+      if (target !== undefined) this.forward(now, target, job, tasks)
     }
-    if (lane.isEmpty) this.ctx.lanes.delete(lane.service)
+    if (pool.isEmpty) this.ctx.lanes.delete(pool.service)
   }
 
-  /** Forgets the tasks here before anybody else may queue them. */
-  private passOn(now: number, target: string, job: JobRecord, tasks: readonly TaskRecord[]): void {
+  /** Removes the tasks here before sending them, so that only one owner has them queued. */
+  private forward(now: number, target: string, job: JobRecord, tasks: readonly TaskRecord[]): void {
     this.ctx.counters.tasksPassedOn += tasks.length
-    for (const task of tasks) this.rememberPassed(now, task, target)
+    for (const task of tasks) this.rememberForwarded(now, task, target)
     this.ctx.memory.rememberPassedJob(now, job.jobId, target)
     const deadlineAt = Math.min(...tasks.map((task) => task.deadlineAt))
     this.ctx.outbox.send(target, {
@@ -64,7 +64,7 @@
         deadlineInMs: deadlineAt - now,
         idempotent: job.idempotent,
         jobRemaining: job.remaining,
-        tasks: tasks.map(toPlaced),
+        tasks: tasks.map(toPlacedTask),
         traceparent: job.traceparent,
         coordinator: job.coordinator,
         ownerBoot: this.ctx.ownership.bootOf(target),
@@ -72,7 +72,7 @@
     })
   }
 
-  private rememberPassed(now: number, task: TaskRecord, target: string): void {
+  private rememberForwarded(now: number, task: TaskRecord, target: string): void {
     this.ctx.book.remove(task)
     this.ctx.memory.remember({
       taskId: task.taskId,
@@ -87,13 +87,13 @@
   }
 }
 
-function takeAll(lane: ServiceLane): readonly TaskRecord[] {
-  const tasks = [...lane.queue.tasks()]
-  for (const task of tasks) lane.queue.remove(task.taskId)
+function takeAll(pool: ServiceLane): readonly TaskRecord[] {
+  const tasks = [...pool.queue.tasks()]
+  for (const task of tasks) pool.queue.remove(task.taskId)
   return tasks
 }
 
-function toPlaced(task: TaskRecord): PlacedTask {
+function toPlacedTask(task: TaskRecord): PlacedTask {
   return create(PlacedTaskSchema, {
     index: task.index,
     spec: task.spec,
--- a/packages/owner/src/lib/intake/Cancellation.ts
+++ b/packages/owner/src/lib/intake/Cancellation.ts
@@ -6,7 +6,7 @@
 import type { JobRecord, TaskRecord } from '../tasks/TaskRecord'
 import { TaskPhase } from '../tasks/TaskRecord'
 
-/** Drops queued tasks and stops running ones that nobody waits for. @internal */
+/** Cancels queued and running tasks whose result is no longer needed. @internal */
 export class Cancellation {
   constructor(
     private readonly ctx: OwnerContext,
@@ -14,35 +14,35 @@
   ) {}
 
   cancel(now: number, from: string, cancel: CancelTasks): void {
-    const elsewhere = new Map<string, CancelledJob[]>()
+    const forwarded = new Map<string, CancelledJob[]>()
     for (const cancelled of cancel.jobs) {
       this.cancelJob(now, cancelled)
-      // Only what comes from the coordinator itself goes one owner further, never in circles.
+      // Only a message from the coordinator itself is forwarded, so that none can loop.
       if (parseJobId(cancelled.jobId)?.coordinator !== from) continue
       for (const owner of this.ctx.memory.passedTo(cancelled.jobId)) {
-        const jobs = elsewhere.get(owner)
-        if (jobs === undefined) elsewhere.set(owner, [cancelled])
+        const jobs = forwarded.get(owner)
+        if (jobs === undefined) forwarded.set(owner, [cancelled])
         else jobs.push(cancelled)
       }
     }
-    for (const [owner, jobs] of elsewhere) {
+    for (const [owner, jobs] of forwarded) {
       this.ctx.outbox.send(owner, { case: 'cancelTasks', value: { jobs } })
     }
   }
 
-  /** The coordinator is gone for good, and with it whoever waited for the job. */
-  abandon(now: number, job: JobRecord): void {
+  /** Cancels a job whose coordinator is lost, so that nobody waits for its result. */
+  cancelOrphanedJob(now: number, job: JobRecord): void {
     for (const task of [...job.tasks.values()]) {
       this.cancelTask(now, task, Reason.COORDINATOR_LOST)
     }
   }
 
   private cancelJob(now: number, cancelled: CancelledJob): void {
-    const whole = cancelled.indexes.length === 0
-    if (whole) this.ctx.memory.rememberCancelledJob(now, cancelled.jobId)
+    const isWholeJob = cancelled.indexes.length === 0
+    if (isWholeJob) this.ctx.memory.rememberCancelledJob(now, cancelled.jobId)
     const job = this.ctx.book.job(cancelled.jobId)
     if (job === undefined) return
-    const indexes = whole ? [...job.tasks.keys()] : cancelled.indexes
+    const indexes = isWholeJob ? [...job.tasks.keys()] : cancelled.indexes
     for (const index of indexes) {
       const task = job.tasks.get(index)
       if (task !== undefined) this.cancelTask(now, task, cancelled.reason)
@@ -52,21 +52,21 @@
   private cancelTask(now: number, task: TaskRecord, reason: Reason): void {
     if (task.muted) return
     const waiting = task.phase === TaskPhase.Queued || task.phase === TaskPhase.Delayed
-    if (waiting) this.dropWaiting(now, task, reason)
-    else this.stopRunning(now, task, reason)
+    if (waiting) this.cancelWaiting(now, task, reason)
+    else this.cancelRunning(now, task, reason)
   }
 
-  private dropWaiting(now: number, task: TaskRecord, reason: Reason): void {
+  private cancelWaiting(now: number, task: TaskRecord, reason: Reason): void {
     this.ctx.counters.cancelledQueued++
-    const lane = this.ctx.lane(task.service)
-    if (task.phase === TaskPhase.Delayed) lane.delayed--
-    else lane.queue.remove(task.taskId)
+    const pool = this.ctx.lane(task.service)
+    if (task.phase === TaskPhase.Delayed) pool.delayed--
+    else pool.queue.remove(task.taskId)
     const end = { outcome: Outcome.NOT_RUN, reason, detail: 'It was cancelled while queued.' }
     this.ends.muteAs(now, task, end)
     this.ends.settle(now, task, end)
   }
 
-  private stopRunning(now: number, task: TaskRecord, reason: Reason): void {
+  private cancelRunning(now: number, task: TaskRecord, reason: Reason): void {
     this.ctx.counters.cancelledRunning++
     const detail = 'It was cancelled after it was dispatched.'
     this.ends.muteAs(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
--- a/packages/owner/src/lib/intake/CoordinatorWatch.ts
+++ b/packages/owner/src/lib/intake/CoordinatorWatch.ts
@@ -4,8 +4,8 @@
 import type { Cancellation } from './Cancellation'
 
 /**
- * Ends the work of coordinators that are gone. A restarted one does not know its jobs any more;
- * a silent one may come back after a short cut, so its work goes on for a while.
+ * Cancels the jobs of lost coordinators. A restarted coordinator no longer knows its jobs; a silent
+ * one may return after a short network failure, so its jobs continue for `coordinatorTimeoutMs`.
  *
  * @internal
  */
@@ -21,7 +21,7 @@
     const known = new Map(members.map((member) => [member.instance, member]))
     for (const coordinator of [...this.ctx.book.coordinatorNames()]) {
       const view = known.get(coordinator)
-      if (view !== undefined) this.endOldBoots(now, view)
+      if (view !== undefined) this.cancelJobsOfOldBoots(now, view)
       if (view?.alive === true || view?.self === true) this.silentSince.delete(coordinator)
       else if (!this.silentSince.has(coordinator)) {
         this.silentSince.set(coordinator, view?.heardAt ?? now)
@@ -31,20 +31,20 @@
 
   tick(now: number): void {
     for (const [coordinator, since] of this.silentSince) {
-      if (now - since < this.ctx.timing.coordinatorLostMs) continue
+      if (now - since < this.ctx.timing.coordinatorTimeoutMs) continue
       this.silentSince.delete(coordinator)
       const jobs = this.ctx.book.jobsOf(coordinator)
       if (jobs.length > 0) this.ctx.counters.coordinatorsLost++
-      for (const job of jobs) this.cancellation.abandon(now, job)
+      for (const job of jobs) this.cancellation.cancelOrphanedJob(now, job)
     }
   }
 
-  private endOldBoots(now: number, view: InstanceView): void {
-    const old = this.ctx.book.jobsOf(view.instance).filter((job) => {
+  private cancelJobsOfOldBoots(now: number, view: InstanceView): void {
+    const oldJobs = this.ctx.book.jobsOf(view.instance).filter((job) => {
       const boot = parseJobId(job.jobId)?.boot
       return boot !== undefined && boot < view.boot
     })
-    if (old.length > 0) this.ctx.counters.coordinatorsLost++
-    for (const job of old) this.cancellation.abandon(now, job)
+    if (oldJobs.length > 0) this.ctx.counters.coordinatorsLost++
+    for (const job of oldJobs) this.cancellation.cancelOrphanedJob(now, job)
   }
 }
--- a/packages/owner/src/lib/intake/Placement.ts
+++ b/packages/owner/src/lib/intake/Placement.ts
@@ -10,7 +10,7 @@
 import type { JobRecord } from '../tasks/TaskRecord'
 import { TaskRecord } from '../tasks/TaskRecord'
 
-/** Takes placed tasks into the queues, or refuses them as truly not run. @internal */
+/** Enqueues placed tasks, or refuses them as not run. @internal */
 export class Placement {
   constructor(
     private readonly ctx: OwnerContext,
@@ -29,62 +29,65 @@
     }
     const coordinator = placement.coordinator === '' ? from : placement.coordinator
     const { jobId } = placement
-    const passedOn = from !== coordinator
-    const fresh = placement.tasks.filter((placed) => this.isFresh(jobId, placed, passedOn))
-    if (fresh.length === 0) return
+    const isForwarded = from !== coordinator
+    const accepted = placement.tasks.filter((placed) =>
+      this.shouldQueue(jobId, placed, isForwarded),
+    )
+    if (accepted.length === 0) return
     const job = this.ctx.book.openJob(placement, coordinator)
     const deadlineAt = now + placement.deadlineInMs
-    const tasks = fresh.map((placed) => makeTask(now, job, placed, deadlineAt))
+    const tasks = accepted.map((placed) => makeTask(now, job, placed, deadlineAt))
     this.ctx.counters.placed += tasks.length
-    this.ctx.retries.noteFresh(now, fresh.filter((placed) => placed.attempt === 0).length)
-    if (passedOn) this.announceMove(job, fresh)
+    this.ctx.retries.noteFresh(now, accepted.filter((placed) => placed.attempt === 0).length)
+    if (isForwarded) this.reportNewOwner(job, accepted)
     for (const [service, group] of groupBy(tasks, (task) => task.service)) {
-      this.take(now, service, group, passedOn)
+      this.enqueueOrRefuse(now, service, group, isForwarded)
     }
     this.ctx.book.closeJob(job)
   }
 
-  /** Whether nothing is known of the task that speaks against queueing it. */
-  private isFresh(jobId: string, placed: PlacedTask, passedOn: boolean): boolean {
+  /** Whether a placed task is neither fenced nor a duplicate. */
+  private shouldQueue(jobId: string, placed: PlacedTask, isForwarded: boolean): boolean {
     const taskId = formatTaskId(jobId, placed.index)
-    const known = this.ctx.memory.get(taskId)
-    if (known?.attempt === Infinity) {
+    const remembered = this.ctx.memory.get(taskId)
+    if (remembered?.attempt === Infinity) {
       this.ctx.counters.fencedPlacements++
       return false
     }
-    const queuedHere = this.ctx.book.get(taskId) !== undefined
-    // A task that was passed on may come back, from whichever owner had it last.
-    const comesBack = passedOn && known?.passedTo !== undefined
-    const anew = known === undefined || (known.notRun && placed.attempt > known.attempt)
-    if (!queuedHere && (comesBack || anew)) return true
+    const isKnownHere = this.ctx.book.get(taskId) !== undefined
+    // A task that was forwarded may come back, from whichever owner had it last.
+    const isReturned = isForwarded && remembered?.passedTo !== undefined
+    const isNewAttempt =
+      remembered === undefined || (remembered.notRun && placed.attempt > remembered.attempt)
+    if (!isKnownHere && (isReturned || isNewAttempt)) return true
     this.ctx.counters.duplicatePlacements++
     return false
   }
 
-  /** The coordinator learns from it that another owner than the one it chose has the tasks. */
-  private announceMove(job: JobRecord, placed: readonly PlacedTask[]): void {
+  /** Tells the coordinator that the tasks are now here, not at the owner that it chose. */
+  private reportNewOwner(job: JobRecord, placed: readonly PlacedTask[]): void {
     const reports = placed.map(({ index }) => ({ index, state: FenceState.IN_PROGRESS }))
     const value = { jobId: job.jobId, reports }
     this.ctx.outbox.send(job.coordinator, { case: 'fenceReports', value })
   }
 
-  private take(
+  private enqueueOrRefuse(
     now: number,
     service: string,
     tasks: readonly TaskRecord[],
-    passedOn: boolean,
+    isForwarded: boolean,
   ): void {
-    const lane = this.ctx.lane(service)
-    const refusal = this.refusalOf(now, lane, tasks, passedOn)
+    const pool = this.ctx.lane(service)
+    const refusal = this.refusalOf(now, pool, tasks, isForwarded)
     for (const task of tasks) {
-      const end = refusal ?? refusalOfTask(now, lane, task)
-      if (end === undefined) this.accept(now, task)
+      const end = refusal ?? refusalOfTask(now, pool, task)
+      if (end === undefined) this.enqueue(now, task)
       else this.ends.settle(now, task, end)
     }
-    if (lane.isEmpty) this.ctx.lanes.delete(service)
+    if (pool.isEmpty) this.ctx.lanes.delete(service)
   }
 
-  private accept(now: number, task: TaskRecord): void {
+  private enqueue(now: number, task: TaskRecord): void {
     this.ctx.memory.forget(task.taskId)
     this.ctx.book.add(task)
     this.dispatcher.enqueue(now, task)
@@ -93,31 +96,31 @@
   /** A batch is refused as a whole: one refused task fails its job anyway. */
   private refusalOf(
     now: number,
-    lane: ServiceLane,
+    pool: ServiceLane,
     tasks: readonly TaskRecord[],
-    passedOn: boolean,
+    isForwarded: boolean,
   ): TaskEnd | undefined {
-    if (lane.endpoints.size === 0 || this.ctx.draining) {
-      // A queue that moves is emptied at the end of the step, towards the new owner. What was
-      // passed on before is not passed on at once again: two owners could go on like that.
-      return !passedOn && this.ctx.canPassOn(lane.service) ? undefined : this.noEndpoint()
+    if (pool.endpoints.size === 0 || this.ctx.draining) {
+      // The queue is forwarded to the new owner at the end of the step. Tasks that were forwarded
+      // to here are not forwarded again at once, since two owners could repeat that endlessly.
+      return !isForwarded && this.ctx.canForward(pool.service) ? undefined : this.noEndpoint()
     }
-    if (lane.isDeserted(now, this.ctx.timing)) return this.noEndpoint()
-    return this.refusalByLimits(lane, tasks)
+    if (pool.hasNoUsableEndpoint(now, this.ctx.timing)) return this.noEndpoint()
+    return this.refusalByLimits(pool, tasks)
   }
 
-  private refusalByLimits(lane: ServiceLane, tasks: readonly TaskRecord[]): TaskEnd | undefined {
+  private refusalByLimits(pool: ServiceLane, tasks: readonly TaskRecord[]): TaskEnd | undefined {
     const { queuedTasksPerSlot, callerQueueShare } = this.ctx.preset
-    const waiting = lane.queue.size + lane.delayed
-    const limit = queuedTasksPerSlot * lane.slots
-    // An empty queue takes any job, so that one larger than the limit can run at all.
+    const waiting = pool.queue.size + pool.delayed
+    const limit = queuedTasksPerSlot * pool.slots
+    // An empty queue accepts any job, so that one larger than the limit can run at all.
     if (waiting === 0 || limit === 0) return undefined
-    if (waiting + tasks.length > limit) return refuse(lane, Reason.QUEUE_FULL, 'The queue is full.')
+    if (waiting + tasks.length > limit) return refuse(pool, Reason.QUEUE_FULL, 'The queue is full.')
     const share = callerQueueShare * limit
     if (share === 0 || waiting + tasks.length <= share) return undefined
-    const own = lane.queue.sizeOf(tasks[0]?.caller ?? '')
-    if (own === waiting || own + tasks.length <= share) return undefined
-    return refuse(lane, Reason.CALLER_LIMIT, "The caller's share of the queue is used up.")
+    const callerTasks = pool.queue.sizeOf(tasks[0]?.caller ?? '')
+    if (callerTasks === waiting || callerTasks + tasks.length <= share) return undefined
+    return refuse(pool, Reason.CALLER_LIMIT, "The caller's share of the queue is used up.")
   }
 
   private noEndpoint(): TaskEnd {
@@ -130,18 +133,18 @@
   }
 }
 
-function refuse(lane: ServiceLane, reason: Reason, detail: string): TaskEnd {
-  const retryAfterMs = Math.ceil(lane.predictWaitMs(Math.max(1, lane.slots), 0))
+function refuse(pool: ServiceLane, reason: Reason, detail: string): TaskEnd {
+  const retryAfterMs = Math.ceil(pool.predictWaitMs(Math.max(1, pool.slots), 0))
   return { outcome: Outcome.NOT_RUN, reason, detail, retryAfterMs }
 }
 
-function refusalOfTask(now: number, lane: ServiceLane, task: TaskRecord): TaskEnd | undefined {
+function refusalOfTask(now: number, pool: ServiceLane, task: TaskRecord): TaskEnd | undefined {
   if (task.deadlineAt <= now) {
     const detail = 'The deadline passed before the task was queued.'
     return { outcome: Outcome.NOT_RUN, reason: Reason.DEADLINE_PASSED, detail }
   }
-  if (lane.endpoints.size === 0) return undefined
-  for (const record of lane.endpoints) {
+  if (pool.endpoints.size === 0) return undefined
+  for (const record of pool.endpoints) {
     if (record.couldHold(task.resources)) return undefined
   }
   const detail = 'No worker known here is large enough for the task.'
@@ -150,7 +153,7 @@
 
 function makeTask(now: number, job: JobRecord, placed: PlacedTask, deadlineAt: number): TaskRecord {
   const taskId = formatTaskId(job.jobId, placed.index)
-  // Without a specification the task names no service, and is refused for want of an endpoint.
+  // Without a specification the task names no service, and is refused for lack of an endpoint.
   const spec = placed.spec ?? create(TaskSpecSchema)
   return new TaskRecord(taskId, job, deadlineAt, now, placed, spec)
 }
--- a/packages/owner/src/lib/intake/intake.test.ts
+++ b/packages/owner/src/lib/intake/intake.test.ts
@@ -39,7 +39,7 @@
     assert.equal(owner.all(OwnerActionKind.RunTask).length, 2)
   })
 
-  it('come again after "not run" only as a later attempt', () => {
+  it('of a task that did not run are accepted only as a later attempt', () => {
     const owner = new OwnerFixture()
     owner.place()
     assert.equal(owner.reportsOn()[0]?.reason, Reason.NO_ENDPOINT)
@@ -88,7 +88,7 @@
     )
   })
 
-  it('are refused to a caller that holds its share while others wait', () => {
+  it('are refused to a caller whose share of the queue is used up while others wait', () => {
     const preset = makePreset({ queuedTasksPerSlot: 10, callerQueueShare: 0.5 })
     const owner = new OwnerFixture({ preset })
     owner.heartbeat({ slots: 1 })
@@ -99,7 +99,7 @@
     assert.equal(owner.reportsOn(0, 'c1.1.3')[0]?.reason, Reason.CALLER_LIMIT)
   })
 
-  it('send what became ready in one step in one message', () => {
+  it('batch the reports of one step into one message', () => {
     const owner = new OwnerFixture()
     owner.place([0, 1, 2])
     assert.equal(owner.sent('taskReports').length, 1)
@@ -107,7 +107,7 @@
 })
 
 describe('cancellation', () => {
-  it('drops queued tasks and stops running ones, without reports', () => {
+  it('removes queued tasks and stops running ones, without reports', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1])
@@ -132,7 +132,7 @@
     assert.equal(owner.machine.counters.cancelledQueued, 3000 - 160)
   })
 
-  it('holds the slot until the endpoint answered, and asks again when it does not', () => {
+  it('holds the slot until the endpoint answers, and repeats an unanswered stop', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1])
@@ -146,7 +146,7 @@
     assert.equal(owner.machine.counters.stopMessages, 2)
   })
 
-  it('spares the message for a task whose answer came first', () => {
+  it('sends no stop for a task whose answer came first', () => {
     const owner = new OwnerFixture()
     owner.heartbeat()
     owner.place([0, 1, 2])
@@ -160,7 +160,7 @@
 })
 
 describe('fences', () => {
-  it('answer for each task, and refuse a late placement of one never seen', () => {
+  it('report the state of each task, and refuse a late placement of one never seen', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 2 })
     owner.place([0, 1, 2])
@@ -177,7 +177,7 @@
     assert.equal(owner.reportsOn(7).length, 0)
   })
 
-  it('are forgotten after their time', () => {
+  it('expire', () => {
     const owner = new OwnerFixture()
     fence(owner, [0])
     owner.pass(61_000)
@@ -186,8 +186,8 @@
     assert.equal(owner.openRuns.length, 1)
   })
 
-  it('say unknown of an ended task whose output was too much to keep', () => {
-    const owner = new OwnerFixture({ limits: { rememberedOutput: 3 } })
+  it('report the outcome as unknown if the output was too large to be kept', () => {
+    const owner = new OwnerFixture({ limits: { rememberedOutputChars: 3 } })
     owner.heartbeat()
     owner.place()
     owner.end(owner.runOf(), RunResultKind.Succeeded)
@@ -200,7 +200,7 @@
   const SELF = makeMember('o1', { self: true })
   const SOUTH = { zone: 'south' }
 
-  function working(): OwnerFixture {
+  function makeBusyOwner(): OwnerFixture {
     const owner = new OwnerFixture()
     owner.members(SELF, makeMember('c1', SOUTH))
     owner.heartbeat({ slots: 1 })
@@ -208,7 +208,7 @@
     return owner
   }
 
-  /** Lets time pass with an endpoint that knows its task. */
+  /** Advances the time while the endpoint renews the lease of its task. */
   function passWithRenewals(owner: OwnerFixture, ms: number): void {
     for (let passed = 0; passed < ms; passed += 500) {
       owner.actions = []
@@ -218,8 +218,8 @@
     }
   }
 
-  it('keeps its work through a short cut', () => {
-    const owner = working()
+  it('keeps its tasks through a short silence', () => {
+    const owner = makeBusyOwner()
     owner.members(SELF, makeMember('c1', { ...SOUTH, alive: false, heardAt: owner.now }))
     passWithRenewals(owner, 9000)
     owner.members(SELF, makeMember('c1', SOUTH))
@@ -228,12 +228,12 @@
   })
 
   const losses = [
-    { name: 'was silent for long', view: { alive: false, heardAt: 1000 }, ms: 12_000 },
+    { name: 'was silent for too long', view: { alive: false, heardAt: 1000 }, ms: 12_000 },
     { name: 'restarted', view: { boot: 2 }, ms: 0 },
   ]
   for (const { name, view, ms } of losses) {
-    it(`loses its work when it ${name}`, () => {
-      const owner = working()
+    it(`has its tasks cancelled when it ${name}`, () => {
+      const owner = makeBusyOwner()
       owner.members(SELF, makeMember('c1', { ...SOUTH, ...view }))
       passWithRenewals(owner, ms)
       assert.deepEqual(owner.last(OwnerActionKind.StopTasks).taskIds, [`${JOB}.0`])
--- a/packages/owner/src/lib/startOwner.ts
+++ b/packages/owner/src/lib/startOwner.ts
@@ -15,19 +15,19 @@
 import type { OwnerMachineOptions } from './OwnerOptions'
 import type { EndpointView } from './views/EndpointView'
 
-/** Fine enough for leases and silences of seconds; an idle tick costs microseconds. */
+/** Short compared with leases and time-outs of seconds; an idle tick takes microseconds. */
 const TICK_MS = 25
 
-/** What the owner needs of the process it runs in. Callbacks must return at once. @public */
+/** Options and callbacks of a running owner. Callbacks must not block. @public */
 export interface OwnerPartOptions extends OwnerMachineOptions {
-  /** Sends a message to an instance; the own one included. */
+  /** Sends a message to an instance, which may be this one. */
   readonly send: (to: string, envelope: Envelope) => void
-  /** The offer changed much: coordinators should hear of it now. */
+  /** Called when the summaries should be sent to coordinators at once. */
   readonly onSummaryChanged: () => void
   readonly onSpan: (span: SpanRecord) => void
-  /** Draining is over. */
+  /** Called when draining is complete. */
   readonly onDrained: () => void
-  /** A defect ended the part; the process has to end too. */
+  /** Called when an unexpected error stopped the owner; the process has to exit too. */
   readonly onDefect?: (defect: unknown) => void
   readonly log: (line: string) => void
   readonly clock?: Clock
@@ -36,9 +36,9 @@
 
 /** A running owner. @public */
 export interface OwnerPart {
-  /** Takes an event; returns at once. */
+  /** Enqueues an event without waiting for it to be handled. */
   readonly tell: (event: OwnerEvent) => void
-  /** Events that wait. */
+  /** Number of enqueued events. */
   readonly backlog: () => number
   readonly summaries: () => readonly ServiceSummary[]
   readonly endpoints: () => readonly EndpointView[]
@@ -46,13 +46,13 @@
   readonly clientCounters: () => Readonly<EndpointClientCounters>
   /** Tasks that are queued or dispatched here. */
   readonly tasks: () => number
-  /** The instance that heartbeats of an endpoint should go to. */
+  /** The instance that should get an endpoint's heartbeats. */
   readonly ownerOf: (endpoint: string, service: string, zone?: string) => string | undefined
 }
 
 /**
- * Starts the owner: the state machine in a fiber of its own, and the client that it talks to
- * endpoints with. Both end with the scope.
+ * Starts the owner: its state machine in a fiber of its own, and the client for requests to
+ * endpoints. Both are stopped when the scope closes.
  *
  * @public
  */
@@ -62,7 +62,7 @@
   const clock = options.clock ?? systemClock
   const machine = new OwnerMachine(options)
   return Effect.gen(function* () {
-    // The client answers into the mailbox, which exists only after it.
+    // The client reports results to the mailbox, which is created after the client.
     let deliver: (event: OwnerEvent) => void = () => undefined
     const tell = (event: OwnerEvent): void => {
       deliver(event)
