--- a/packages/owner/src/lib/OwnerMachine.test.ts
+++ b/packages/owner/src/lib/OwnerMachine.test.ts
@@ -8,7 +8,7 @@
 import { OwnerWorld } from './fixtures/OwnerWorld'
 import { OwnerActionKind } from './OwnerAction'
 
-/** Steps of a random run, the usual ones more often than faults. */
+/** Steps of a random run; ordinary steps are more frequent than faults. */
 const steps = [
   ...Array<'place'>(3).fill('place'),
   ...Array<'deliver'>(5).fill('deliver'),
@@ -27,12 +27,12 @@
 ] as const
 
 const RUNS = Number(process.env.OWNER_PROPERTY_RUNS ?? 300)
-/** Tasks of a run with several owners. */
+/** Number of jobs, of one task each, in a run with several owners. */
 const JOBS = 100
 const SEED = Number(process.env.OWNER_PROPERTY_SEED ?? 20_261_202)
 
-describe('the owner under random events', () => {
-  it('starts no task twice, and reports each placed one once and truly', () => {
+describe('an owner under random events', () => {
+  it('starts no task twice, and reports each placed task once and with its true outcome', () => {
     const step = fc.record({ name: fc.constantFrom(...steps), draw: fc.nat(10_000) })
     const run = fc.property(fc.array(step, { minLength: 20, maxLength: 200 }), (sequence) => {
       const world = new OwnerWorld()
@@ -45,8 +45,8 @@
   })
 })
 
-describe('owners that come and drain', () => {
-  it('run each task once, and never more than an endpoint has slots', () => {
+describe('owners that join and drain', () => {
+  it('run each task once, and never exceed the slots of an endpoint', () => {
     const run = fc.property(fc.nat(), fc.constantFrom(1, 4), (seed, shards) => {
       const group = new OwnerGroup(seed, shards)
       group.runUntil(1500)
@@ -64,7 +64,7 @@
 })
 
 describe('spans', () => {
-  it('cover the wait and the run, and the endpoint gets the one of the run', () => {
+  it('cover the time in the queue and the run, and the endpoint gets the span of the run', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1])
@@ -86,8 +86,8 @@
   })
 })
 
-describe('the offer', () => {
-  it('is announced when free slots come, go, or change by a quarter', () => {
+describe('service summaries', () => {
+  it('are announced when free slots appear, run out, or change by more than a quarter', () => {
     const owner = new OwnerFixture()
     const announced = (): number => owner.all(OwnerActionKind.SummaryChanged).length
     owner.heartbeat()
@@ -95,7 +95,7 @@
     assert.equal(announced(), 1)
     owner.place([0])
     owner.passWithHeartbeats(200, {})
-    assert.equal(announced(), 1, 'one of eight slots is no news')
+    assert.equal(announced(), 1, 'a change of one in eight slots is not announced')
     owner.place([1, 2, 3, 4, 5, 6, 7])
     owner.pass(100)
     assert.equal(announced(), 2)
@@ -104,7 +104,7 @@
     assert.equal(announced(), 3)
   })
 
-  it('predicts the wait from the work that is queued', () => {
+  it('predict the wait from the queued work', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 2 })
     owner.place([...Array(22).keys()])
--- a/packages/owner/src/lib/dispatch/Dispatcher.test.ts
+++ b/packages/owner/src/lib/dispatch/Dispatcher.test.ts
@@ -7,7 +7,7 @@
 const FAST = { endpoint: 'fast', slots: 1 }
 const SLOW = { endpoint: 'slow', slots: 1 }
 
-/** Two endpoints, one of which was measured to be ten times slower. */
+/** An owner with two endpoints, one of which was measured to be ten times slower. */
 function withStraggler(): OwnerFixture {
   const preset = makePreset({ placementRule: PlacementRule.SPREAD_FAST })
   const owner = new OwnerFixture({ preset })
@@ -27,7 +27,7 @@
 }
 
 describe('dispatch', () => {
-  it('lets a task wait for a fast endpoint rather than start at a straggler', () => {
+  it('holds a task back for a fast endpoint instead of starting it at a straggler', () => {
     const owner = withStraggler()
     assert.ok((owner.machine.endpoints(owner.now)[1]?.slowness ?? 0) > 2)
     owner.place([0, 1])
@@ -49,7 +49,7 @@
     assert.equal(owner.runOf().endpoint, 'slow')
   })
 
-  it('gives an endpoint that fails everything no more work', () => {
+  it('ejects an endpoint at which every task fails', () => {
     const preset = makePreset({ healthRule: HealthRule.CONSECUTIVE })
     const owner = new OwnerFixture({ preset })
     const endpoints = ['bad', 'good1', 'good2'].map((endpoint) => ({ endpoint }))
@@ -65,7 +65,7 @@
     assert.equal(owner.machine.summaries(owner.now)[0]?.ejectedEndpoints, 1)
   })
 
-  it('is not held up by a task at the head that fits nowhere now', () => {
+  it('is not blocked by a task at the head of the queue that fits nowhere now', () => {
     const owner = new OwnerFixture()
     owner.heartbeat()
     const spec = { service: SERVICE, payload: '1', resources: { cores: 20 } }
--- a/packages/owner/src/lib/endpoints/EndpointDirectory.test.ts
+++ b/packages/owner/src/lib/endpoints/EndpointDirectory.test.ts
@@ -8,7 +8,7 @@
 const LEAVING = EndpointState.LEAVING
 
 describe('heartbeats', () => {
-  it('make an endpoint known, and with it its slots', () => {
+  it('register an endpoint with its slots', () => {
     const owner = new OwnerFixture()
     assert.deepEqual(owner.machine.summaries(owner.now), [])
     owner.heartbeat()
@@ -20,13 +20,13 @@
   const bounds = [
     { name: 'slots', endpoint: { slots: 3 }, resources: undefined, runs: 3 },
     { name: 'connections', endpoint: { connections: 6 }, resources: undefined, runs: 4 },
-    { name: 'running tasks of others', endpoint: { runningTaskIds: ['x.1.1.0'] }, runs: 7 },
+    { name: 'tasks of other owners', endpoint: { runningTaskIds: ['x.1.1.0'] }, runs: 7 },
     { name: 'cores', endpoint: {}, resources: { cores: 12 }, runs: 2 },
     { name: 'memory', endpoint: {}, resources: { memoryMb: 60_000 }, runs: 1 },
     { name: 'accelerators', endpoint: {}, resources: { accelerators: 1 }, runs: 0 },
   ]
   for (const { name, endpoint, resources, runs } of bounds) {
-    it(`bound what runs at an endpoint by ${name}`, () => {
+    it(`limit the running tasks of an endpoint by ${name}`, () => {
       const owner = new OwnerFixture()
       owner.heartbeat(endpoint)
       const indexes = [...Array(10).keys()]
@@ -37,7 +37,7 @@
     })
   }
 
-  it('of an endpoint that leaves end its work at once, and for good in that boot', () => {
+  it('that say `leaving` stop dispatch at once, for the rest of that boot', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1])
@@ -49,7 +49,7 @@
     assert.equal(owner.openRuns.length, 1)
   })
 
-  it('that miss for three seconds end its work, even while a probe is answered', () => {
+  it('that stay away for three seconds stop dispatch, even if probes succeed', () => {
     const owner = new OwnerFixture()
     owner.heartbeat()
     owner.pass(1250)
@@ -66,7 +66,7 @@
     assert.equal(owner.reportsOn(1)[0]?.reason, Reason.NO_ENDPOINT)
   })
 
-  it('do not vouch for the way to an endpoint that a probe did not reach', () => {
+  it('do not make an endpoint reachable again after a failed probe', () => {
     const owner = new OwnerFixture()
     owner.heartbeat()
     owner.place([0])
@@ -89,7 +89,7 @@
     assert.equal(owner.machine.counters.staleHeartbeats, 1)
   })
 
-  it('of a later boot end what the old process ran, once its answer had its chance', () => {
+  it('of a later boot end the tasks of the old process, after a grace period for their answers', () => {
     const owner = new OwnerFixture()
     owner.heartbeat()
     owner.place([0, 1, 2])
@@ -111,7 +111,7 @@
     )
   })
 
-  it('of a later boot leave a request that never arrived its other try', () => {
+  it('of a later boot let a task whose request never arrived be retried', () => {
     const owner = new OwnerFixture()
     owner.heartbeat()
     owner.place()
@@ -122,7 +122,7 @@
     assert.equal(owner.reportsOn().length, 0)
   })
 
-  it('that still list a task whose answer came do not hold its slot', () => {
+  it('that still list a task after its answer do not hold its slot', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1])
@@ -134,14 +134,14 @@
 })
 
 describe('heartbeats at an instance that is not the owner', () => {
-  function stranger(): OwnerFixture {
+  function makeNonOwner(): OwnerFixture {
     const owner = new OwnerFixture()
     owner.members(makeMember('o2'), makeMember('o1', { self: true, zone: 'south' }))
     return owner
   }
 
-  it('are passed on to the owner in the zone of the endpoint', () => {
-    const owner = stranger()
+  it('are forwarded to the owner in the zone of the endpoint', () => {
+    const owner = makeNonOwner()
     owner.heartbeat()
     assert.deepEqual(
       owner.sent('forwardHeartbeat').map(({ to }) => to),
@@ -151,19 +151,19 @@
     assert.deepEqual(owner.machine.endpoints(owner.now), [])
   })
 
-  it('are passed on once, also when two instances disagree', () => {
-    const owner = stranger()
+  it('are forwarded only once, even if two instances disagree about the owner', () => {
+    const owner = makeNonOwner()
     owner.heartbeat({}, 'o2')
     owner.heartbeat()
     owner.heartbeat()
     assert.equal(owner.sent('forwardHeartbeat').length, 1)
     owner.heartbeat({ state: LEAVING })
-    assert.equal(owner.sent('forwardHeartbeat').length, 2, 'leaving does not wait')
+    assert.equal(owner.sent('forwardHeartbeat').length, 2, '`leaving` is forwarded at once')
     assert.equal(owner.machine.counters.droppedHeartbeats, 2)
   })
 
-  it('are dropped while no instance of the zone is known', () => {
-    const owner = stranger()
+  it('are dropped if no instance of the zone is known', () => {
+    const owner = makeNonOwner()
     owner.heartbeat({ zone: 'east' })
     assert.equal(owner.sent('forwardHeartbeat').length, 0)
   })
--- a/packages/owner/src/lib/handover/HandOver.test.ts
+++ b/packages/owner/src/lib/handover/HandOver.test.ts
@@ -19,17 +19,17 @@
 import { OwnerEventKind } from '../OwnerEvent'
 
 const SELF = makeMember('o1', { self: true })
-/** By the hash, `o1` owns the service alone, and `o0` once that comes. */
-const WINNER = 'o0'
-/** `o1` owns the service beside this one. */
-const LOSER = 'o3'
+/** By the ownership hash, `o1` owns the service alone, and `o0` owns it once `o0` joins. */
+const NEXT_OWNER = 'o0'
+/** By the ownership hash, `o1` keeps the service when this one joins. */
+const OTHER_OWNER = 'o3'
 
 function drain(owner: OwnerFixture): void {
   owner.step({ kind: OwnerEventKind.Drain })
 }
 
 /** An owner with one busy slot and one queued task. */
-function busy(): OwnerFixture {
+function makeBusyOwner(): OwnerFixture {
   const owner = new OwnerFixture()
   owner.members(SELF)
   owner.heartbeat({ slots: 1 })
@@ -53,15 +53,15 @@
 }
 
 describe('the old owner', () => {
-  it('hands over the endpoint, then its queue, and finishes what it dispatched', () => {
-    const owner = busy()
+  it('hands over the endpoint, then its queue, and finishes the dispatched tasks', () => {
+    const owner = makeBusyOwner()
     owner.actions = []
-    owner.members(SELF, makeMember(WINNER))
+    owner.members(SELF, makeMember(NEXT_OWNER))
     const [handed] = owner.sent('handOverEndpoints')
-    assert.equal(handed?.to, WINNER)
+    assert.equal(handed?.to, NEXT_OWNER)
     assert.deepEqual(handed.value.endpoints[0]?.dispatchedTaskIds, [`${JOB}.0`])
     const [placed] = owner.sent('placeTasks')
-    assert.deepEqual([placed?.to, placed?.value.coordinator], [WINNER, 'c1'])
+    assert.deepEqual([placed?.to, placed?.value.coordinator], [NEXT_OWNER, 'c1'])
     assert.deepEqual(
       placed?.value.tasks.map(({ index }) => index),
       [1],
@@ -75,9 +75,9 @@
     assert.deepEqual(owner.machine.endpoints(owner.now), [])
   })
 
-  it('passes on what still comes for the tasks it passed on', () => {
-    const owner = busy()
-    owner.members(SELF, makeMember(WINNER))
+  it('forwards later messages about the tasks that it forwarded', () => {
+    const owner = makeBusyOwner()
+    owner.members(SELF, makeMember(NEXT_OWNER))
     owner.place([2])
     const indexes = owner.sent('placeTasks').map(({ value }) => value.tasks[0]?.index)
     assert.deepEqual(indexes, [1, 2])
@@ -90,21 +90,21 @@
     owner.message({ case: 'cancelTasks', value: create(CancelTasksSchema, { jobs }) })
     assert.deepEqual(
       owner.sent('cancelTasks').map(({ to }) => to),
-      [WINNER],
+      [NEXT_OWNER],
     )
   })
 
-  it('does not pass a silent endpoint off as a fresh one', () => {
-    const owner = busy()
+  it('does not hand over a silent endpoint', () => {
+    const owner = makeBusyOwner()
     owner.pass(3000)
-    owner.members(SELF, makeMember(WINNER))
+    owner.members(SELF, makeMember(NEXT_OWNER))
     assert.equal(owner.sent('handOverEndpoints').length, 0)
     assert.equal(owner.machine.summaries(owner.now).length, 0)
   })
 
-  it('takes an endpoint back when the new owner dies', () => {
-    const owner = busy()
-    owner.members(SELF, makeMember(WINNER))
+  it('resumes ownership of an endpoint when the new owner dies', () => {
+    const owner = makeBusyOwner()
+    owner.members(SELF, makeMember(NEXT_OWNER))
     owner.members(SELF)
     owner.heartbeat({ slots: 2 })
     owner.place([0, 1], { jobId: 'c1.1.2' })
@@ -114,9 +114,9 @@
     )
   })
 
-  it('clears up a lost request without heartbeats of the endpoint', () => {
-    const owner = busy()
-    owner.members(SELF, makeMember(WINNER))
+  it('resolves a lost request without heartbeats of the endpoint', () => {
+    const owner = makeBusyOwner()
+    owner.members(SELF, makeMember(NEXT_OWNER))
     owner.end(owner.runOf(), RunResultKind.Lost)
     owner.pass(50)
     owner.endRenewal([])
@@ -124,25 +124,25 @@
     owner.pass(100)
     assert.deepEqual(
       owner.sent('placeTasks').map(({ to, value }) => [to, value.tasks[0]?.index]),
-      [[WINNER, 1]],
+      [[NEXT_OWNER, 1]],
     )
     assert.equal(
       owner.reportsOn()[0]?.outcome,
       Outcome.NOT_RUN,
-      'it is fenced at the only endpoint',
+      'its id is fenced at the only endpoint',
     )
   })
 })
 
 describe('the new owner', () => {
-  function taker(): OwnerFixture {
+  function makeNewOwner(): OwnerFixture {
     const owner = new OwnerFixture()
     owner.members(SELF, makeMember('o2'))
     return owner
   }
 
-  it('starts nothing on slots and connections that the old one uses', () => {
-    const owner = taker()
+  it('uses no slot or connection that the old one still holds', () => {
+    const owner = makeNewOwner()
     handOver(owner, ['c1.1.9.0'])
     owner.place([0, 1])
     assert.equal(owner.openRuns.length, 1)
@@ -154,8 +154,8 @@
     assert.equal(owner.runOf(`${JOB}.1`).maxConnections, 64)
   })
 
-  it('frees a slot whose task neither ends nor is listed after its lease', () => {
-    const owner = taker()
+  it('frees a slot whose task is neither released nor listed within its lease', () => {
+    const owner = makeNewOwner()
     handOver(owner, ['c1.1.9.0', 'c1.1.9.1'])
     owner.place([0])
     owner.passWithHeartbeats(2900, { slots: 2 })
@@ -164,8 +164,8 @@
     assert.equal(owner.openRuns.length, 1)
   })
 
-  it('keeps a slot whose task the endpoint lists, until it does not', () => {
-    const owner = taker()
+  it('keeps a slot held for as long as the endpoint lists its task', () => {
+    const owner = makeNewOwner()
     handOver(owner, ['c1.1.9.0', 'c1.1.9.1'])
     owner.place([0])
     const runningTaskIds = ['c1.1.9.0', 'c1.1.9.1']
@@ -175,8 +175,8 @@
     assert.equal(owner.openRuns.length, 1)
   })
 
-  it('of a dead one takes what the endpoint lists as busy', () => {
-    const owner = taker()
+  it('treats the tasks that the endpoint lists as busy slots if the old one is dead', () => {
+    const owner = makeNewOwner()
     owner.members(SELF, makeMember('o2', { alive: false }))
     const fence = create(FenceTasksSchema, { jobId: 'c1.1.9', indexes: [0] })
     owner.message({ case: 'fenceTasks', value: fence })
@@ -185,10 +185,10 @@
     assert.equal(owner.openRuns.length, 1)
   })
 
-  it('waits for the hand-over by one that lives', () => {
+  it('waits for the hand-over by an old one that is alive', () => {
     const owner = new OwnerFixture()
-    owner.members(SELF, makeMember(WINNER))
-    owner.members(SELF, makeMember(WINNER, { state: InstanceState.DRAINING }))
+    owner.members(SELF, makeMember(NEXT_OWNER))
+    owner.members(SELF, makeMember(NEXT_OWNER, { state: InstanceState.DRAINING }))
     owner.heartbeat()
     owner.place()
     assert.equal(owner.openRuns.length, 0)
@@ -197,7 +197,7 @@
   })
 
   it('tells the coordinator that it has the tasks now', () => {
-    const owner = taker()
+    const owner = makeNewOwner()
     handOver(owner, [])
     owner.place([0], { from: 'o2' })
     const [notice] = owner.sent('fenceReports')
@@ -205,47 +205,47 @@
     assert.equal(owner.openRuns.length, 1)
   })
 
-  it('may give a task back to the one that it came from', () => {
-    const owner = busy()
-    owner.members(SELF, makeMember(WINNER))
-    owner.members(SELF, makeMember(WINNER, { state: InstanceState.DRAINING }))
+  it('may forward a task back to the owner that it came from', () => {
+    const owner = makeBusyOwner()
+    owner.members(SELF, makeMember(NEXT_OWNER))
+    owner.members(SELF, makeMember(NEXT_OWNER, { state: InstanceState.DRAINING }))
     owner.heartbeat({ slots: 4 })
     owner.passWithHeartbeats(700, { slots: 4 })
-    owner.place([1], { from: WINNER })
+    owner.place([1], { from: NEXT_OWNER })
     assert.equal(owner.runOf(`${JOB}.1`).endpoint, 'e1')
   })
 })
 
-describe('a task that was passed on', () => {
-  it('is refused where it can not be queued, not passed on again', () => {
-    const owner = busy()
-    owner.members(SELF, makeMember(WINNER))
+describe('a forwarded task', () => {
+  it('is refused, not forwarded again, if it cannot be queued', () => {
+    const owner = makeBusyOwner()
+    owner.members(SELF, makeMember(NEXT_OWNER))
     owner.actions = []
-    owner.place([7], { from: WINNER })
+    owner.place([7], { from: NEXT_OWNER })
     assert.equal(owner.sent('placeTasks').length, 0)
     assert.equal(owner.reportsOn(7)[0]?.reason, Reason.NO_ENDPOINT)
   })
 
-  it('is asked about one owner further at most', () => {
-    const owner = busy()
-    owner.members(SELF, makeMember(WINNER))
+  it('has its fences and cancellations forwarded at most once', () => {
+    const owner = makeBusyOwner()
+    owner.members(SELF, makeMember(NEXT_OWNER))
     const value = create(FenceTasksSchema, { jobId: JOB, indexes: [1] })
-    owner.message({ case: 'fenceTasks', value }, WINNER)
+    owner.message({ case: 'fenceTasks', value }, NEXT_OWNER)
     const jobs = [{ jobId: JOB, reason: Reason.CANCELLED }]
     const cancel = create(CancelTasksSchema, { jobs })
-    owner.message({ case: 'cancelTasks', value: cancel }, WINNER)
+    owner.message({ case: 'cancelTasks', value: cancel }, NEXT_OWNER)
     assert.equal(owner.sent('fenceTasks').length + owner.sent('cancelTasks').length, 0)
   })
 })
 
 describe('draining', () => {
-  it('hands everything over and ends with the last dispatched task', () => {
+  it('hands over endpoints and queues, and completes with the last dispatched task', () => {
     const owner = new OwnerFixture()
-    owner.members(SELF, makeMember(LOSER))
+    owner.members(SELF, makeMember(OTHER_OWNER))
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1])
     owner.step({ kind: OwnerEventKind.Drain })
-    assert.equal(owner.sent('placeTasks')[0]?.to, LOSER)
+    assert.equal(owner.sent('placeTasks')[0]?.to, OTHER_OWNER)
     assert.equal(owner.all(OwnerActionKind.Drained).length, 0)
     assert.deepEqual(owner.machine.summaries(owner.now), [])
     owner.end(owner.runOf(), RunResultKind.Succeeded)
@@ -254,8 +254,8 @@
     assert.equal(owner.all(OwnerActionKind.Drained).length, 1)
   })
 
-  it('without another owner refuses what waits as not run', () => {
-    const owner = busy()
+  it('refuses queued tasks as not run if there is no other owner', () => {
+    const owner = makeBusyOwner()
     drain(owner)
     assert.equal(owner.reportsOn(1)[0]?.reason, Reason.DRAINING)
     owner.place([5])
@@ -266,9 +266,9 @@
   })
 })
 
-describe('another preset', () => {
+describe('a change of preset', () => {
   it('keeps every queued task', () => {
-    const owner = busy()
+    const owner = makeBusyOwner()
     owner.place([2, 3])
     const preset = makePreset({ queueOrder: QueueOrder.DEADLINE_FAIR, name: 'peak' })
     owner.step({ kind: OwnerEventKind.Preset, preset })
@@ -279,9 +279,9 @@
     assert.equal(owner.machine.counters.succeeded, 4)
   })
 
-  it('with other shards moves endpoints', () => {
+  it('moves endpoints if it changes the number of shards', () => {
     const owner = new OwnerFixture()
-    owner.members(SELF, makeMember(LOSER))
+    owner.members(SELF, makeMember(OTHER_OWNER))
     const endpoints = [...Array(12).keys()].map((n) => `e${n}`)
     for (const endpoint of endpoints) owner.heartbeat({ endpoint })
     owner.step({ kind: OwnerEventKind.Preset, preset: makePreset({ ownerShards: 16 }) })
--- a/packages/owner/src/lib/intake/Placement.test.ts
+++ b/packages/owner/src/lib/intake/Placement.test.ts
@@ -4,7 +4,7 @@
 import { PlaceTasksSchema } from '@cherryhitch/protocol'
 import { JOB, OwnerFixture, SERVICE } from '../fixtures/OwnerFixture'
 
-function placedFor(ownerBoot: number) {
+function makePlacement(ownerBoot: number) {
   return create(PlaceTasksSchema, {
     jobId: JOB,
     deadlineInMs: 30_000,
@@ -22,10 +22,10 @@
     { name: 'any process', boot: 0, runs: 1 },
   ]
   for (const { name, boot, runs } of boots) {
-    it(`dispatches ${runs} of 1 task that was meant for ${name}`, () => {
+    it(`dispatches ${runs} of 1 task addressed to ${name}`, () => {
       const owner = new OwnerFixture({ boot: 2 })
       owner.heartbeat()
-      owner.message({ case: 'placeTasks', value: placedFor(boot) })
+      owner.message({ case: 'placeTasks', value: makePlacement(boot) })
       assert.equal(owner.openRuns.length, runs)
       assert.equal(owner.machine.counters.misdirectedPlacements, 1 - runs)
     })
--- a/packages/owner/src/lib/startOwner.test.ts
+++ b/packages/owner/src/lib/startOwner.test.ts
@@ -9,8 +9,8 @@
 import { OwnerEventKind } from './OwnerEvent'
 import { startOwner } from './startOwner'
 
-/** A value that callbacks wait for. */
-class Awaited<T> {
+/** A promise that is resolved from outside. */
+class Deferred<T> {
   resolve: (value: T) => void = () => undefined
   readonly value = new Promise<T>((resolve) => (this.resolve = resolve))
 }
@@ -19,8 +19,8 @@
   it('runs a task at an endpoint, reports it, and drains', async () => {
     const server = new EndpointServer()
     await server.listen()
-    const reported = new Awaited<{ to: string; envelope: Envelope }>()
-    const drained = new Awaited<undefined>()
+    const reported = new Deferred<{ to: string; envelope: Envelope }>()
+    const drained = new Deferred<undefined>()
     const spans: string[] = []
     const program = Effect.gen(function* () {
       const owner = yield* startOwner({
