--- a/packages/dispatch/src/lib/scheduling/AvailableEndpoints.ts
+++ b/packages/dispatch/src/lib/scheduling/AvailableEndpoints.ts
@@ -169,11 +169,11 @@
   }
 
   #grow(): void {
-    this.#cpuMillis = doubleCapacity(this.#cpuMillis)
-    this.#memoryMb = doubleCapacity(this.#memoryMb)
-    this.#gpus = doubleCapacity(this.#gpus)
-    this.#totalCpuMillis = doubleCapacity(this.#totalCpuMillis)
-    this.#slowness = doubleCapacity(this.#slowness)
+    this.#cpuMillis = doubleLength(this.#cpuMillis)
+    this.#memoryMb = doubleLength(this.#memoryMb)
+    this.#gpus = doubleLength(this.#gpus)
+    this.#totalCpuMillis = doubleLength(this.#totalCpuMillis)
+    this.#slowness = doubleLength(this.#slowness)
   }
 }
 
@@ -221,7 +221,7 @@
   return (isRemote ? REMOTE_PENALTY : 1) * avoidancePenalty * colocationPenalty
 }
 
-function doubleCapacity(column: Float64Array): Float64Array<ArrayBuffer> {
+function doubleLength(column: Float64Array): Float64Array<ArrayBuffer> {
   const larger = new Float64Array(2 * column.length)
   larger.set(column)
   return larger
