--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Mailboxes around pure state machines, timers, the clock, and that of simulated runs.
+ * Actors around pure state machines, mailboxes, timers, the clock, and the event scheduler of
+ * simulated runs.
  *
  * @packageDocumentation
  */
--- a/packages/runtime/src/lib/Agenda.ts
+++ b/packages/runtime/src/lib/Agenda.ts
@@ -1,10 +1,11 @@
-interface Due {
-  readonly at: number
-  readonly order: number
-  readonly act: () => void
+interface ScheduledEvent {
+  readonly dueAt: number
+  /** Decides between events that are due at the same instant; the lowest comes first. */
+  readonly rank: number
+  readonly callback: () => void
 }
 
-/** What comes first of what is due at the same instant. @public */
+/** Order of events that are due at the same instant, by when they were scheduled. @public */
 export enum TieOrder {
   FirstAsked = 'first_asked',
   LastAsked = 'last_asked',
@@ -12,7 +13,7 @@
 
 /** @public */
 export interface AgendaOptions {
-  /** Where the clock begins, in milliseconds. */
+  /** Initial time of the clock, in milliseconds. */
   readonly startMs?: number
   readonly ties?: TieOrder
 }
@@ -23,64 +24,65 @@
   ties: TieOrder.FirstAsked,
 }
 
-/** A clock of a simulated run, and what is to happen by it. @public */
+/** Virtual clock and event queue of a simulated run. @public */
 export class Agenda {
   private time: number
-  private readonly heap: Due[] = []
-  /** Rises with each thing asked for, or falls where the last one is to come first. */
-  private order = 0
-  private readonly orderStep: number
+  private readonly heap: ScheduledEvent[] = []
+  /** Rank of the latest event. Ranks ascend, or descend if the latest event is to run first. */
+  private lastRank = 0
+  private readonly rankStep: number
 
   constructor(options: AgendaOptions = {}) {
     const { startMs, ties } = { ...defaultAgendaOptions, ...options }
     this.time = startMs
-    this.orderStep = ties === TieOrder.FirstAsked ? 1 : -1
+    this.rankStep = ties === TieOrder.FirstAsked ? 1 : -1
   }
 
   get now(): number {
     return this.time
   }
 
-  after(ms: number, act: () => void): void {
-    this.order += this.orderStep
-    this.push({ at: this.time + ms, order: this.order, act })
+  /** Schedules a callback for `ms` milliseconds from the current virtual time. */
+  after(ms: number, callback: () => void): void {
+    this.lastRank += this.rankStep
+    this.push({ dueAt: this.time + ms, rank: this.lastRank, callback })
   }
 
-  /** Lets time pass, and does what is due on the way. */
+  /** Advances the time by `ms`, running the events that become due on the way. */
   run(ms: number): void {
     this.runUntil(this.time + ms)
   }
 
-  /** The same, up to an instant. */
+  /** Advances the time to `end`, running the events that become due on the way. */
   runUntil(end: number): void {
-    for (let due = this.heap[0]; due !== undefined && due.at <= end; due = this.heap[0]) {
+    for (let next = this.heap[0]; next !== undefined && next.dueAt <= end; next = this.heap[0]) {
       this.pop()
-      this.time = due.at
-      due.act()
+      this.time = next.dueAt
+      next.callback()
     }
     this.time = end
   }
 
-  private push(due: Due): void {
-    let at = this.heap.push(due) - 1
-    while (at > 0) {
-      const parent = (at - 1) >> 1
-      if (!this.isBefore(at, parent)) return
-      this.swap(at, parent)
-      at = parent
+  private push(event: ScheduledEvent): void {
+    let index = this.heap.push(event) - 1
+    while (index > 0) {
+      const parent = (index - 1) >> 1
+      if (!this.isBefore(index, parent)) return
+      this.swap(index, parent)
+      index = parent
     }
   }
 
   private pop(): void {
     this.swap(0, this.heap.length - 1)
     this.heap.pop()
-    let at = 0
+    let index = 0
     for (;;) {
-      const left = 2 * at + 1
+      const left = 2 * index + 1
       const smaller = this.isBefore(left + 1, left) ? left + 1 : left
-      if (!this.isBefore(smaller, at)) return
-      this.swap(at, smaller)
-      at = smaller
+      if (!this.isBefore(smaller, index)) return
+      this.swap(index, smaller)
+      index = smaller
     }
   }
 
@@ -88,7 +90,7 @@
     const a = this.heap[first]
     const b = this.heap[second]
     if (a === undefined || b === undefined) return false
-    return a.at < b.at || (a.at === b.at && a.order < b.order)
+    return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.rank < b.rank)
   }
 
   private swap(first: number, second: number): void {
--- a/packages/runtime/src/lib/Clock.ts
+++ b/packages/runtime/src/lib/Clock.ts
@@ -1,12 +1,17 @@
 import { performance } from 'node:perf_hooks'
 
-/** Source of the present time; only shells read it, decisions get it as an argument. @public */
+/**
+ * Source of the current time. Only code that does I/O reads it; state machines and policies get the
+ * time as an argument.
+ *
+ * @public
+ */
 export interface Clock {
   /** Milliseconds since the epoch; never runs backwards within a process. */
   now(): number
 }
 
-/** Wall clock at the start of the process, moved on by the monotonic clock. @public */
+/** Wall-clock time at process start, advanced by the monotonic clock. @public */
 export const systemClock: Clock = {
   now: () => performance.timeOrigin + performance.now(),
 }
--- a/packages/runtime/src/lib/GatherPace.ts
+++ b/packages/runtime/src/lib/GatherPace.ts
@@ -1,30 +1,30 @@
 /**
- * Decides when something goes out that may be gathered for a while. The first after a pause goes
- * at once; while more comes within the gap, all of it goes together at its end.
+ * Limits the rate of batched sends. The first item after a pause is sent at once; items that arrive
+ * within the minimum interval after a send are sent together at its end.
  *
  * @public
  */
 export class GatherPace {
-  #sentAt = -Infinity
-  #isWaiting = false
+  #lastSentAt = -Infinity
+  #isPending = false
 
-  /** @param gapMs - least time between two sendings, in milliseconds; 0 gathers nothing */
-  constructor(private readonly gapMs: number) {}
+  /** @param intervalMs - minimum interval between two sends, in milliseconds; 0 disables batching */
+  constructor(private readonly intervalMs: number) {}
 
   /**
-   * There is something to send.
+   * Called when an item is ready to be sent.
    *
-   * @returns after how many milliseconds to send; undefined when that is under way already
+   * @returns the delay after which to send, in milliseconds; undefined if a send is already pending
    */
   note(now: number): number | undefined {
-    if (this.#isWaiting) return undefined
-    this.#isWaiting = true
-    return Math.max(0, this.#sentAt + this.gapMs - now)
+    if (this.#isPending) return undefined
+    this.#isPending = true
+    return Math.max(0, this.#lastSentAt + this.intervalMs - now)
   }
 
-  /** All that there was is sent. */
+  /** Called when all pending items have been sent. */
   noteSent(now: number): void {
-    this.#isWaiting = false
-    this.#sentAt = now
+    this.#isPending = false
+    this.#lastSentAt = now
   }
 }
--- a/packages/runtime/src/lib/Machine.ts
+++ b/packages/runtime/src/lib/Machine.ts
@@ -1,38 +1,41 @@
 /**
- * A pure state machine: it decides, its shell acts.
+ * A pure state machine. It returns actions, which its host performs.
  *
- * A step reads no clock, opens no socket and draws no random number, so the same code runs in
- * the daemon and in randomised runs.
+ * A step reads no clock, opens no socket and draws no random number, so the same code runs in the
+ * daemon and in randomized simulations.
  *
  * @public
  */
 export abstract class Machine<Event, Action> {
   /**
-   * Takes one event in and says what is to be done.
+   * Handles one event and returns the actions to perform.
    *
-   * @param now - the present time in milliseconds
+   * @param now - the current time, in milliseconds
    */
   abstract step(now: number, event: Event): readonly Action[]
 
-  /** Takes events in one after the other, at the same present time. */
+  /** Handles events in order, all at the same current time. */
   stepAll(now: number, events: readonly Event[]): readonly Action[] {
     return events.flatMap((event) => this.step(now, event))
   }
 
-  /** Lets time pass: due timeouts, heartbeats, renewals. */
+  /** Handles what is due by now, such as timeouts, heartbeats and renewals. */
   abstract tick(now: number): readonly Action[]
 
   /**
-   * A step is over; its owner tells how long its first event waited, until all of it was done, in
-   * milliseconds. What a machine makes of it is a decision of its own; by default it is nothing.
+   * Called by the host at the end of each step, with the delay of the step, for machines that adapt
+   * to overload.
+   *
+   * @param _delayMs - time from when the step was due until all its actions were performed, in
+   *   milliseconds
    */
-  noteStep(_now: number, _behindMs: number): void {
-    // Most machines never have more to do than they have time for.
+  noteStep(_now: number, _delayMs: number): void {
+    // Does nothing by default: most machines are never short of processor time.
   }
 
   /**
-   * When the next tick has something to do, in milliseconds, as long as no event comes before;
-   * Infinity for never. Ticks come at a steady pace by default.
+   * Time from which the next tick has work to do, in milliseconds, provided that no event arrives
+   * before; Infinity for never. By default, ticks come at a fixed interval.
    */
   get tickDueAt(): number {
     return -Infinity
--- a/packages/runtime/src/lib/TickTimer.ts
+++ b/packages/runtime/src/lib/TickTimer.ts
@@ -3,33 +3,33 @@
 /** @internal */
 export interface TickTimerOptions {
   readonly clock: Clock
-  /** Least time between two ticks, in milliseconds. */
+  /** Minimum interval between two ticks, in milliseconds. */
   readonly tickMs: number
-  /** When the next tick has something to do. */
+  /** Time from which the next tick has work to do, in milliseconds. */
   readonly dueAt: () => number
-  /** A tick is due; it is over once `noteTick` was called. */
+  /** Called when a tick is due; the receiver calls `recordTick` once it runs the tick. */
   readonly onDue: () => void
 }
 
 /**
- * Wakes a part up when time alone has something to do, and not before: at a steady pace
- * for each part an idle process wakes up hundreds of times a second for nothing.
+ * Schedules the ticks of an actor for when they have work to do. With a fixed interval for each
+ * actor, an idle process would wake up hundreds of times per second for nothing.
  *
  * @internal
  */
 export class TickTimer {
   #timer: NodeJS.Timeout | undefined
-  /** When the timer fires; Infinity while there is none. */
+  /** When the timer fires; Infinity while no timer is set. */
   #firesAt = Infinity
-  #tickedAt = -Infinity
+  #lastTickAt = -Infinity
   #isClosed = false
 
   constructor(private readonly options: TickTimerOptions) {}
 
-  /** To be called after each step, since it may have changed when the next tick is due. */
+  /** Call after each step, which may have changed when the next tick is due. */
   arm(): void {
-    const at = this.#nextAt()
-    // A timer that fires too early looks again then: that is cheaper than to set it anew.
+    const at = this.#nextTickAt()
+    // A timer that fires too early is armed again then, which is cheaper than replacing it now.
     if (this.#isClosed || at >= this.#firesAt) return
     clearTimeout(this.#timer)
     const waitMs = Math.max(1, Math.ceil(at - this.options.clock.now()))
@@ -37,8 +37,8 @@
     this.#timer = setTimeout(this.#fire, waitMs)
   }
 
-  noteTick(now: number): void {
-    this.#tickedAt = now
+  recordTick(now: number): void {
+    this.#lastTickAt = now
   }
 
   close(): void {
@@ -46,14 +46,14 @@
     clearTimeout(this.#timer)
   }
 
-  #nextAt(): number {
+  #nextTickAt(): number {
     const { dueAt, tickMs } = this.options
-    return Math.max(this.#tickedAt + tickMs, dueAt())
+    return Math.max(this.#lastTickAt + tickMs, dueAt())
   }
 
   readonly #fire = (): void => {
     this.#firesAt = Infinity
-    if (this.options.clock.now() >= this.#nextAt()) this.options.onDue()
+    if (this.options.clock.now() >= this.#nextTickAt()) this.options.onDue()
     else this.arm()
   }
 }
--- a/packages/runtime/src/lib/startMailbox.ts
+++ b/packages/runtime/src/lib/startMailbox.ts
@@ -4,33 +4,37 @@
 /** @public */
 export interface MailboxOptions<Item> {
   /**
-   * Takes in all items that have arrived since the last call; it must not block. It is also told
-   * when it was to be called, by `performance.now()`: a busy process calls it later.
+   * Handles all items that have arrived since the last call. Must not block.
+   *
+   * @param dueAt - when the call was due, in the time of `performance.now()`; a busy process makes
+   *   the call later
    */
   readonly take: (items: readonly Item[], dueAt: number) => void
-  /** Called when `take` throws: the mailbox is dead after it. */
+  /** Called when `handleBatch` throws. The mailbox is closed then. */
   readonly onDefect: (defect: unknown) => void
   /**
-   * Least time between the beginnings of two calls of `take`, in milliseconds; asked at each item
-   * that finds the mailbox empty, with the time that the last call took. What comes after a pause
-   * is taken in at once; under load more comes together.
+   * Minimum interval between the starts of two calls of `handleBatch`, in milliseconds. Evaluated
+   * for each item that arrives at an empty mailbox, with the duration of the last call. An item
+   * that arrives after a pause is handled at once; under load, batches grow.
    */
-  readonly gapMs?: (tookMs: number) => number
+  readonly gapMs?: (lastDurationMs: number) => number
 }
 
 /** @public */
 export interface Mailbox<Item> {
-  /** Puts an item in; returns at once. */
+  /** Enqueues an item and returns immediately. */
   readonly tell: (item: Item) => void
-  /** Items that wait. */
+  /** Number of queued items. */
   readonly backlog: () => number
 }
 
 /**
- * Starts a mailbox whose items are taken in by one function, never while another call of it runs.
- * What arrives in one turn of the event loop is taken in together. It ends with the scope.
+ * Starts a mailbox whose items are handled by one function, in calls that never overlap. Items that
+ * arrive in the same turn of the event loop are handled in one batch. The mailbox is closed when the
+ * scope ends.
  *
- * A plain callback and not a fiber that waits on a queue, which costs more than most items do.
+ * The handler is a plain callback because a fiber that waits on a queue costs more than handling
+ * most items does.
  *
  * @public
  */
@@ -49,8 +53,8 @@
   private waiting: Item[] = []
   private isScheduled = false
   private isClosed = false
-  private takenAt = -Infinity
-  private tookMs = 0
+  private lastBatchAt = -Infinity
+  private lastDurationMs = 0
   private dueAt = -Infinity
 
   constructor(private readonly options: MailboxOptions<Item>) {}
@@ -60,9 +64,9 @@
     this.waiting.push(item)
     if (this.isScheduled) return
     this.isScheduled = true
-    const gapMs = this.options.gapMs?.(this.tookMs) ?? 0
+    const gapMs = this.options.gapMs?.(this.lastDurationMs) ?? 0
     const now = performance.now()
-    const waitMs = gapMs > 0 ? gapMs - (now - this.takenAt) : 0
+    const waitMs = gapMs > 0 ? gapMs - (now - this.lastBatchAt) : 0
     this.dueAt = now + Math.max(0, waitMs)
     if (waitMs <= 0) setImmediate(this.drain)
     else setTimeout(this.drain, waitMs)
@@ -80,10 +84,11 @@
     this.waiting = []
     this.isScheduled = false
     if (this.isClosed) return
-    if (this.options.gapMs !== undefined) this.takenAt = performance.now()
+    if (this.options.gapMs !== undefined) this.lastBatchAt = performance.now()
     try {
       this.options.take(items, this.dueAt)
-      if (this.options.gapMs !== undefined) this.tookMs = performance.now() - this.takenAt
+      if (this.options.gapMs !== undefined)
+        this.lastDurationMs = performance.now() - this.lastBatchAt
     } catch (err) {
       this.close()
       this.options.onDefect(err)
--- a/packages/runtime/src/lib/startPacedTimer.ts
+++ b/packages/runtime/src/lib/startPacedTimer.ts
@@ -2,8 +2,8 @@
 import type { Scope } from 'effect'
 
 /**
- * Calls back again and again until the scope ends, each time after as many milliseconds as the
- * last call asked for.
+ * Calls `onTick` repeatedly until the scope ends, first at once and then each time after the delay
+ * in milliseconds that the previous call returned.
  *
  * @public
  */
--- a/packages/runtime/src/lib/startPart.test.ts
+++ b/packages/runtime/src/lib/startPart.test.ts
@@ -7,7 +7,7 @@
 
 const TICK_MS = 10
 
-/** Notes when it ticks; each event says when the next tick is due. */
+/** Records its ticks; each event sets when the next tick is due. */
 class DueMachine extends Machine<number, never> {
   readonly ticks: number[] = []
   #dueAt: number
@@ -32,7 +32,7 @@
   }
 }
 
-describe('the ticks of a part', () => {
+describe('ticks of an actor', () => {
   let now = 0
   beforeEach(() => {
     now = 0
@@ -63,54 +63,54 @@
     }
   }
 
-  function pass(ms: number): void {
+  function advance(ms: number): void {
     for (let passed = 0; passed < ms; passed++) {
       now++
       mock.timers.tick(1)
     }
   }
 
-  it('come at a steady pace while something is always due', () => {
+  it('come at the minimum interval while a tick is always due', () => {
     const machine = new DueMachine(-Infinity)
     open(machine)
-    pass(100)
+    advance(100)
     assert.ok(machine.ticks.length >= 8 && machine.ticks.length <= 10, `${machine.ticks.length}`)
   })
 
-  it('do not come while nothing is due', () => {
+  it('do not come while no tick is due', () => {
     const machine = new DueMachine(Infinity)
     open(machine)
-    pass(1_000)
+    advance(1_000)
     assert.deepEqual(machine.ticks, [])
   })
 
-  it('come when an event has made something due', () => {
+  it('come at the due time that an event has set', () => {
     const machine = new DueMachine(Infinity)
     const { part } = open(machine)
-    pass(100)
+    advance(100)
     part.tell(150)
-    pass(200)
+    advance(200)
     assert.ok((machine.ticks[0] ?? 0) >= 150 && (machine.ticks[0] ?? 0) <= 152)
   })
 
-  it('wait for what is due later than it was', () => {
+  it('are delayed when an event postpones the due time', () => {
     const machine = new DueMachine(50)
     const { part } = open(machine)
-    pass(10)
+    advance(10)
     part.tell(500)
-    pass(400)
+    advance(400)
     assert.deepEqual(machine.ticks, [])
-    pass(100)
+    advance(100)
     assert.equal(machine.ticks.length > 0, true)
   })
 
-  it('end with the scope', () => {
+  it('stop when the scope ends', () => {
     const machine = new DueMachine(-Infinity)
     const { close } = open(machine)
-    pass(20)
+    advance(20)
     close()
     const before = machine.ticks.length
-    pass(100)
+    advance(100)
     assert.equal(machine.ticks.length, before)
   })
 })
--- a/packages/runtime/src/lib/startPart.ts
+++ b/packages/runtime/src/lib/startPart.ts
@@ -9,26 +9,26 @@
 
 /** @public */
 export interface PartOptions<Action> {
-  /** Carries an action out; it must not throw, and it must not block. */
+  /** Performs an action. Must not throw or block. */
   readonly perform: (action: Action) => void
-  /** Called after all actions that belong together were carried out. */
+  /** Called after all actions of a step have been performed. */
   readonly onStepEnd?: () => void
-  /** Called when a step or an action throws: the part is dead after it. */
+  /** Called when a step or an action throws. The actor handles no more events then. */
   readonly onDefect: (defect: unknown) => void
-  /** Milliseconds between two ticks at least; the machine says when it needs the next one. */
+  /** Minimum interval between two ticks, in milliseconds; see `StateMachine.tickDueAt`. */
   readonly tickMs: number
   readonly clock?: Clock
-  /** Least time between two steps, see `MailboxOptions`. */
-  readonly gapMs?: (tookMs: number) => number
+  /** Minimum interval between the starts of two steps; see `MailboxOptions`. */
+  readonly gapMs?: (lastDurationMs: number) => number
 }
 
-/** A running state machine that is reached through its mailbox alone. @public */
+/** A running state machine that is accessible only through its mailbox. @public */
 export type Part<Event> = Mailbox<Event>
 
 const TICK = Symbol('tick')
 
 /**
- * Starts the only owner of the machine. It ends with the scope.
+ * Starts an actor that becomes the sole owner of the machine. It stops when the scope ends.
  *
  * @public
  */
@@ -40,20 +40,20 @@
   const perform = (actions: readonly Action[]): void => {
     for (const action of actions) options.perform(action)
   }
-  /** Events that arrived together are taken in together, which may share work. */
-  const take = (waiting: readonly (Event | typeof TICK)[], dueAt: number): void => {
-    const events = waiting.filter((event): event is Event => event !== TICK)
+  /** Handles events that arrived together in one call, so that the machine can share work. */
+  const take = (batch: readonly (Event | typeof TICK)[], dueAt: number): void => {
+    const events = batch.filter((event): event is Event => event !== TICK)
     if (events.length > 0) perform(machine.stepAll(clock.now(), events))
-    if (events.length < waiting.length) {
+    if (events.length < batch.length) {
       const now = clock.now()
-      ticks.noteTick(now)
+      tickTimer.recordTick(now)
       perform(machine.tick(now))
     }
     options.onStepEnd?.()
     machine.noteStep(clock.now(), performance.now() - dueAt)
-    ticks.arm()
+    tickTimer.arm()
   }
-  const ticks = new TickTimer({
+  const tickTimer = new TickTimer({
     clock,
     tickMs: options.tickMs,
     dueAt: () => machine.tickDueAt,
@@ -66,10 +66,10 @@
     mailbox = yield* startMailbox({ take, onDefect, ...(gapMs && { gapMs }) })
     yield* Effect.addFinalizer(() =>
       Effect.sync(() => {
-        ticks.close()
+        tickTimer.close()
       }),
     )
-    ticks.arm()
+    tickTimer.arm()
     return mailbox
   })
 }
--- a/packages/runtime/src/lib/startTimer.ts
+++ b/packages/runtime/src/lib/startTimer.ts
@@ -2,16 +2,16 @@
 import type { Scope } from 'effect'
 
 /**
- * Calls back at a steady pace until the scope ends. A timer of Node.js costs less than a fiber
- * that sleeps, and an idle instance does little else than tick.
+ * Calls `onTick` at a fixed interval until the scope ends. Uses a Node.js timer, which costs less
+ * than a sleeping fiber, because an idle instance does little else than tick.
  *
  * @public
  */
 export function startTimer(
-  everyMs: number,
+  intervalMs: number,
   onTick: () => void,
 ): Effect.Effect<void, never, Scope.Scope> {
-  const start = Effect.sync(() => setInterval(onTick, everyMs))
+  const start = Effect.sync(() => setInterval(onTick, intervalMs))
   const stop = (timer: NodeJS.Timeout) =>
     Effect.sync(() => {
       clearInterval(timer)
