--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Which instances live, and what each of them offers.
+ * Membership: failure detection among instances, and the capacity that each of them offers.
  *
  * @packageDocumentation
  */
--- a/packages/membership/src/lib/MembershipAction.ts
+++ b/packages/membership/src/lib/MembershipAction.ts
@@ -1,7 +1,7 @@
 import type { InstanceView } from '@cherryhitch/model'
 import type { Envelope } from '@cherryhitch/protocol'
 
-/** What membership asks its shell to do. @public */
+/** Kinds of actions that membership asks its host to perform. @public */
 export enum MembershipActionKind {
   Send = 'send',
   ViewChanged = 'view_changed',
@@ -12,7 +12,7 @@
 /** @public */
 export type MembershipAction =
   | { readonly kind: MembershipActionKind.Send; readonly to: string; readonly envelope: Envelope }
-  /** The view as a whole, whenever anything in it changed. */
+  /** The complete view, published after changes in it and refreshed when it gets old. */
   | { readonly kind: MembershipActionKind.ViewChanged; readonly members: readonly InstanceView[] }
   | {
       readonly kind: MembershipActionKind.InstanceLost
--- a/packages/membership/src/lib/MembershipEvent.ts
+++ b/packages/membership/src/lib/MembershipEvent.ts
@@ -1,6 +1,6 @@
 import type { InstanceHeartbeat, InstanceState, ServiceSummary } from '@cherryhitch/protocol'
 
-/** What membership can be told. @public */
+/** Kinds of events that membership handles. @public */
 export enum MembershipEventKind {
   Heartbeat = 'heartbeat',
   LinkUp = 'link_up',
@@ -24,14 +24,17 @@
       readonly roundTripMs: number
     }
   | { readonly kind: MembershipEventKind.LinkDown; readonly peer: string }
-  /** The link's smoothed round trip, measured anew. */
+  /** A new value of the link's smoothed round-trip time. */
   | {
       readonly kind: MembershipEventKind.RoundTrip
       readonly peer: string
       readonly roundTripMs: number
     }
   | { readonly kind: MembershipEventKind.LocalState; readonly state: InstanceState }
-  /** What this instance offers now. `urgent` sends it at once rather than with the next heartbeat. */
+  /**
+   * The current offer of this instance. If `urgent`, it is sent at once, not with the next regular
+   * heartbeat.
+   */
   | {
       readonly kind: MembershipEventKind.LocalOffer
       readonly services: readonly ServiceSummary[]
--- a/packages/membership/src/lib/MembershipMachine.ts
+++ b/packages/membership/src/lib/MembershipMachine.ts
@@ -9,26 +9,27 @@
 import { MembershipEventKind } from './MembershipEvent'
 import type { MembershipOptions, MembershipTiming } from './MembershipOptions'
 import { defaultMembershipTiming } from './MembershipOptions'
-import { HeartbeatVerdict, PeerRecord } from './PeerRecord'
+import { HeartbeatResult, PeerRecord } from './PeerRecord'
 import { sameServices } from './sameServices'
 
-/** What membership counts; all rise only. @public */
+/** Counters of membership events; they never decrease. @public */
 export interface MembershipCounters extends Readonly<Record<string, number>> {
   readonly heartbeatsSent: number
   readonly heartbeatsReceived: number
-  /** Of an earlier boot, late or doubled; they are dropped. */
+  /** Dropped heartbeats: duplicates, out of order, or from an earlier boot. */
   readonly heartbeatsStale: number
-  /** From an instance that the settings do not name. */
+  /** Heartbeats from instances that are not listed in the settings. */
   readonly heartbeatsForeign: number
   readonly instancesLost: number
 }
 
 /**
- * Decides which instances live, by their heartbeats alone, and spreads what this one offers.
+ * Failure detector: decides by their heartbeats alone which instances are alive, and broadcasts
+ * what this instance offers.
  *
- * Each instance judges for itself: nobody has to agree, so a zone that is cut off goes on with
- * the instances it hears. Two instances that differ for a while may both count themselves the
- * owner of an endpoint; the endpoint itself then refuses what is over its slots.
+ * Each instance decides for itself, without consensus, so a partitioned zone keeps working with the
+ * instances that it can reach. While the views of two instances differ, both may consider themselves
+ * the owner of an endpoint; the endpoint then refuses tasks that exceed its slots.
  *
  * @public
  */
@@ -47,12 +48,12 @@
   private jobsInFlight = 0
   private settingsVersion = 0
   private sequence = 0
-  private nearDueAt = 0
-  private farDueAt = 0
-  private urgentSentAt = Number.NEGATIVE_INFINITY
-  private isUrgent = false
-  private hasNews = false
-  private viewedAt = Number.NEGATIVE_INFINITY
+  private sameZoneDueAt = 0
+  private crossZoneDueAt = 0
+  private lastUrgentAt = Number.NEGATIVE_INFINITY
+  private isUrgentPending = false
+  private hasUnpublishedChanges = false
+  private lastViewAt = Number.NEGATIVE_INFINITY
 
   constructor(private readonly options: MembershipOptions) {
     super()
@@ -69,44 +70,44 @@
   override step(now: number, event: MembershipEvent): readonly MembershipAction[] {
     switch (event.kind) {
       case MembershipEventKind.Heartbeat:
-        return this.takeHeartbeat(now, event.from, event.boot, event.heartbeat)
+        return this.handleHeartbeat(now, event.from, event.boot, event.heartbeat)
       case MembershipEventKind.LinkUp:
-        return this.noteLink(now, event.peer, true, event.roundTripMs)
+        return this.handleLinkChange(now, event.peer, true, event.roundTripMs)
       case MembershipEventKind.LinkDown:
-        return this.noteLink(now, event.peer, false, 0)
+        return this.handleLinkChange(now, event.peer, false, 0)
       case MembershipEventKind.RoundTrip:
-        this.peers.get(event.peer)?.noteRoundTrip(event.roundTripMs)
+        this.peers.get(event.peer)?.setRoundTrip(event.roundTripMs)
         return []
       case MembershipEventKind.LocalState:
         this.state = event.state
-        this.isUrgent = true
-        return [...this.sendDue(now), this.viewChanged(now)]
+        this.isUrgentPending = true
+        return [...this.sendDueHeartbeats(now), this.publishView(now)]
       case MembershipEventKind.LocalOffer:
-        return this.takeOffer(now, event)
+        return this.handleOffer(now, event)
       default:
         return exhaustive(event)
     }
   }
 
   override tick(now: number): readonly MembershipAction[] {
-    const lost = [...this.peers.values()].filter((peer) => peer.checkSilence(now))
+    const lost = [...this.peers.values()].filter((peer) => peer.expireIfSilent(now))
     this.count.instancesLost += lost.length
     const actions: MembershipAction[] = lost.map((peer) => ({
       kind: MembershipActionKind.InstanceLost,
       instance: peer.known.instance,
       boot: peer.currentBoot,
     }))
-    if (lost.length > 0 || this.hasNews) actions.push(this.viewChanged(now))
-    actions.push(...this.sendDue(now))
+    if (lost.length > 0 || this.hasUnpublishedChanges) actions.push(this.publishView(now))
+    actions.push(...this.sendDueHeartbeats(now))
     return actions
   }
 
-  /** All instances that the settings name, this one first. */
+  /** All instances that are listed in the settings, this one first. */
   view(now: number): readonly InstanceView[] {
     return [this.selfView(now), ...[...this.peers.values()].map((peer) => peer.view())]
   }
 
-  private takeHeartbeat(
+  private handleHeartbeat(
     now: number,
     from: string,
     boot: number,
@@ -118,26 +119,26 @@
       return []
     }
     this.count.heartbeatsReceived++
-    const verdict = peer.takeHeartbeat(now, boot, heartbeat)
-    switch (verdict) {
-      case HeartbeatVerdict.Stale:
+    const result = peer.applyHeartbeat(now, boot, heartbeat)
+    switch (result) {
+      case HeartbeatResult.Stale:
         this.count.heartbeatsStale++
         return []
-      case HeartbeatVerdict.Same:
+      case HeartbeatResult.Same:
         return []
-      case HeartbeatVerdict.Changed:
-        return this.spreadNews(now)
-      case HeartbeatVerdict.Found:
+      case HeartbeatResult.Changed:
+        return this.publishChange(now)
+      case HeartbeatResult.Found:
         return [
           { kind: MembershipActionKind.InstanceFound, instance: from, boot },
-          this.viewChanged(now),
+          this.publishView(now),
         ]
       default:
-        return exhaustive(verdict)
+        return exhaustive(result)
     }
   }
 
-  private noteLink(
+  private handleLinkChange(
     now: number,
     peerName: string,
     up: boolean,
@@ -145,58 +146,59 @@
   ): readonly MembershipAction[] {
     const peer = this.peers.get(peerName)
     if (peer === undefined) return []
-    peer.noteLink(up, roundTripMs)
-    // A peer that was just found again should hear of us without waiting for the next heartbeat.
+    peer.setLink(up, roundTripMs)
+    // A reconnected peer gets the state of this instance without waiting for the next heartbeat.
     if (!up) return []
-    return [this.send(now, peerName)]
+    return [this.sendHeartbeat(now, peerName)]
   }
 
-  private takeOffer(
+  private handleOffer(
     now: number,
     offer: Extract<MembershipEvent, { kind: MembershipEventKind.LocalOffer }>,
   ): readonly MembershipAction[] {
-    const isNews = !sameServices(offer.services, this.services)
+    const isChanged = !sameServices(offer.services, this.services)
     this.services = offer.services
     this.jobsInFlight = offer.jobsInFlight
     this.settingsVersion = offer.settingsVersion
-    if (offer.urgent) this.isUrgent = true
-    const isStale = now - this.viewedAt >= this.timing.viewMs
-    const view = isNews || isStale ? [this.viewChanged(now)] : []
-    return [...view, ...this.sendDue(now)]
+    if (offer.urgent) this.isUrgentPending = true
+    const isStale = now - this.lastViewAt >= this.timing.viewRefreshMs
+    const view = isChanged || isStale ? [this.publishView(now)] : []
+    return [...view, ...this.sendDueHeartbeats(now)]
   }
 
-  /** News of many instances that come close together make one view. */
-  private spreadNews(now: number): readonly MembershipAction[] {
-    if (now - this.viewedAt >= this.timing.viewGapMs) return [this.viewChanged(now)]
-    this.hasNews = true
+  /** Publishes a view now or, if the last one is too recent, at the next tick with other changes. */
+  private publishChange(now: number): readonly MembershipAction[] {
+    if (now - this.lastViewAt >= this.timing.minViewIntervalMs) return [this.publishView(now)]
+    this.hasUnpublishedChanges = true
     return []
   }
 
-  private sendDue(now: number): readonly MembershipAction[] {
-    const isUrgentDue = this.isUrgent && now - this.urgentSentAt >= this.timing.urgentGapMs
-    const isNearDue = isUrgentDue || now >= this.nearDueAt
-    const isFarDue = isUrgentDue || now >= this.farDueAt
+  private sendDueHeartbeats(now: number): readonly MembershipAction[] {
+    const isUrgentDue =
+      this.isUrgentPending && now - this.lastUrgentAt >= this.timing.minUrgentIntervalMs
+    const isSameZoneDue = isUrgentDue || now >= this.sameZoneDueAt
+    const isCrossZoneDue = isUrgentDue || now >= this.crossZoneDueAt
     if (isUrgentDue) {
-      this.isUrgent = false
-      this.urgentSentAt = now
+      this.isUrgentPending = false
+      this.lastUrgentAt = now
     }
-    if (isNearDue) this.nearDueAt = now + this.timing.heartbeatMs
-    if (isFarDue) this.farDueAt = now + this.timing.farHeartbeatMs
+    if (isSameZoneDue) this.sameZoneDueAt = now + this.timing.heartbeatMs
+    if (isCrossZoneDue) this.crossZoneDueAt = now + this.timing.farHeartbeatMs
     return [...this.peers.values()]
-      .filter((peer) => (this.isNear(peer) ? isNearDue : isFarDue))
-      .map((peer) => this.send(now, peer.known.instance))
+      .filter((peer) => (this.isInSameZone(peer) ? isSameZoneDue : isCrossZoneDue))
+      .map((peer) => this.sendHeartbeat(now, peer.known.instance))
   }
 
-  private isNear(peer: PeerRecord): boolean {
+  private isInSameZone(peer: PeerRecord): boolean {
     return peer.known.zone === this.options.zone
   }
 
-  private send(_now: number, to: string): MembershipAction {
+  private sendHeartbeat(_now: number, to: string): MembershipAction {
     this.count.heartbeatsSent++
-    return { kind: MembershipActionKind.Send, to, envelope: this.heartbeat() }
+    return { kind: MembershipActionKind.Send, to, envelope: this.createHeartbeat() }
   }
 
-  private heartbeat(): Envelope {
+  private createHeartbeat(): Envelope {
     this.sequence++
     return envelope({
       case: 'instanceHeartbeat',
@@ -212,9 +214,9 @@
     })
   }
 
-  private viewChanged(now: number): MembershipAction {
-    this.viewedAt = now
-    this.hasNews = false
+  private publishView(now: number): MembershipAction {
+    this.lastViewAt = now
+    this.hasUnpublishedChanges = false
     return { kind: MembershipActionKind.ViewChanged, members: this.view(now) }
   }
 
--- a/packages/membership/src/lib/MembershipOptions.ts
+++ b/packages/membership/src/lib/MembershipOptions.ts
@@ -1,4 +1,4 @@
-/** An instance that the settings name. @public */
+/** An instance that is listed in the settings. @public */
 export interface KnownInstance {
   readonly instance: string
   readonly zone: string
@@ -6,25 +6,28 @@
 
 /** Timing of membership, in milliseconds. @public */
 export interface MembershipTiming {
-  /** Between two heartbeats to instances of the own zone. */
+  /** Interval of heartbeats to instances in the same availability zone. */
   readonly heartbeatMs: number
-  /** Between two heartbeats to instances of other zones; their links cost more. */
+  /** Interval of heartbeats to instances in other zones, longer because those links cost more. */
   readonly farHeartbeatMs: number
-  /** Silence after which an instance counts as not alive. */
+  /** Time without a heartbeat after which an instance is considered lost. */
   readonly timeoutMs: number
-  /** Silence that is enough once its link is down as well. */
+  /** The same while the link to the instance is down. */
   readonly linkDownTimeoutMs: number
-  /** Least time between two urgent heartbeats. */
-  readonly urgentGapMs: number
-  /** The view is told again after this without a change: coordinators weigh its age. */
-  readonly viewMs: number
-  /** Least time between two views for what heartbeats tell; news wait for the next tick. */
-  readonly viewGapMs: number
+  /** Minimum interval between two urgent rounds of heartbeats. */
+  readonly minUrgentIntervalMs: number
+  /** Age at which an unchanged view is published again: coordinators take its age into account. */
+  readonly viewRefreshMs: number
+  /**
+   * Minimum interval between two views published because of heartbeats. Changes that arrive earlier
+   * are published together at the next tick.
+   */
+  readonly minViewIntervalMs: number
 }
 
 /**
- * The timeout leaves room for a silent connection to be replaced within 2 s without its peer
- * being called dead.
+ * A silent connection is replaced within 2 s. The timeout is longer, so that the peer is not
+ * considered lost meanwhile.
  *
  * @public
  */
@@ -33,9 +36,9 @@
   farHeartbeatMs: 400,
   timeoutMs: 2500,
   linkDownTimeoutMs: 1000,
-  urgentGapMs: 20,
-  viewMs: 250,
-  viewGapMs: 10,
+  minUrgentIntervalMs: 20,
+  viewRefreshMs: 250,
+  minViewIntervalMs: 10,
 }
 
 /** @public */
@@ -43,7 +46,7 @@
   readonly instance: string
   readonly boot: number
   readonly zone: string
-  /** Host and port of this instance's endpoint interface, told to the others. */
+  /** Host and port of this instance's API for endpoints, sent to the peers. */
   readonly endpointAddress: string
   readonly peers: readonly KnownInstance[]
   readonly timing?: Partial<MembershipTiming>
--- a/packages/membership/src/lib/PeerRecord.ts
+++ b/packages/membership/src/lib/PeerRecord.ts
@@ -4,19 +4,19 @@
 import type { KnownInstance, MembershipTiming } from './MembershipOptions'
 import { sameServices } from './sameServices'
 
-/** Whether a heartbeat was news. @internal */
-export enum HeartbeatVerdict {
-  /** The first one of a boot, or after a silence. */
+/** Effect of a heartbeat on the record of its sender. @internal */
+export enum HeartbeatResult {
+  /** The first heartbeat of a boot, or the first since the peer was considered lost. */
   Found = 'found',
-  /** It changes what the peer offers or its state. */
+  /** It changes the peer's state, offer or another published value. */
   Changed = 'changed',
-  /** The peer lives on, nothing else is new. */
+  /** It confirms that the peer is alive and changes nothing else. */
   Same = 'same',
-  /** It belongs to an earlier boot, or arrived late or twice. */
+  /** It is a duplicate, arrived out of order, or belongs to an earlier boot. */
   Stale = 'stale',
 }
 
-/** What is known of one peer. Owns the decision whether it lives. @internal */
+/** The last known state of one peer. Decides whether the peer is alive. @internal */
 export class PeerRecord {
   private boot = 0
   private sequence = -1
@@ -42,11 +42,11 @@
     return this.alive
   }
 
-  takeHeartbeat(now: number, boot: number, heartbeat: InstanceHeartbeat): HeartbeatVerdict {
-    if (boot < this.boot) return HeartbeatVerdict.Stale
-    if (boot === this.boot && heartbeat.sequence <= this.sequence) return HeartbeatVerdict.Stale
+  applyHeartbeat(now: number, boot: number, heartbeat: InstanceHeartbeat): HeartbeatResult {
+    if (boot < this.boot) return HeartbeatResult.Stale
+    if (boot === this.boot && heartbeat.sequence <= this.sequence) return HeartbeatResult.Stale
     const isFound = boot > this.boot || !this.alive
-    const isChanged = this.differs(heartbeat)
+    const isChanged = this.isChangedBy(heartbeat)
     this.boot = boot
     this.sequence = heartbeat.sequence
     this.state = heartbeat.state
@@ -55,22 +55,29 @@
     this.settingsVersion = heartbeat.settingsVersion
     this.heardAt = now
     this.alive = true
-    if (isFound) return HeartbeatVerdict.Found
-    return isChanged ? HeartbeatVerdict.Changed : HeartbeatVerdict.Same
+    if (isFound) return HeartbeatResult.Found
+    return isChanged ? HeartbeatResult.Changed : HeartbeatResult.Same
   }
 
-  noteLink(up: boolean, roundTripMs: number): void {
+  setLink(up: boolean, roundTripMs: number): void {
     this.linkUp = up
     if (up) this.roundTripMs = roundTripMs
   }
 
-  /** The first round trip of a link includes its set-up; later ones tell the distance. */
-  noteRoundTrip(roundTripMs: number): void {
+  /**
+   * Replaces the round-trip time that was measured when the link came up, which includes the time
+   * for connection setup.
+   */
+  setRoundTrip(roundTripMs: number): void {
     this.roundTripMs = roundTripMs
   }
 
-  /** Calls the peer lost when it was silent for too long. @returns true when that is new */
-  checkSilence(now: number): boolean {
+  /**
+   * Marks the peer as lost if it has sent no heartbeat for too long.
+   *
+   * @returns true if the peer was alive until now
+   */
+  expireIfSilent(now: number): boolean {
     if (!this.alive) return false
     const limit = this.linkUp ? this.timing.timeoutMs : this.timing.linkDownTimeoutMs
     if (now - this.heardAt <= limit) return false
@@ -94,7 +101,7 @@
     }
   }
 
-  private differs(heartbeat: InstanceHeartbeat): boolean {
+  private isChangedBy(heartbeat: InstanceHeartbeat): boolean {
     return (
       heartbeat.state !== this.state ||
       heartbeat.settingsVersion !== this.settingsVersion ||
--- a/packages/membership/src/lib/sameServices.ts
+++ b/packages/membership/src/lib/sameServices.ts
@@ -1,6 +1,6 @@
 import type { ServiceSummary } from '@cherryhitch/protocol'
 
-/** Whether two offers say the same to a coordinator. @internal */
+/** Whether two offers are equal in all values that coordinators use. @internal */
 export function sameServices(
   left: readonly ServiceSummary[],
   right: readonly ServiceSummary[],
