--- a/packages/model/src/lib/dispatching/Mechanism.ts
+++ b/packages/model/src/lib/dispatching/Mechanism.ts
@@ -1,35 +1,35 @@
-/** What the dispatcher does for its callers beyond the plain path; each can be left out. @public */
+/** Optional mechanisms of the dispatcher; each can be disabled. @public */
 export enum Mechanism {
-  /** Refusing at once what will get no place in time. */
+  /** Refuses a job on arrival if it would not get capacity in time. */
   Admission = 'admission',
-  /** The job that has to start first goes first; without it first come, first served. */
+  /** Serves the job with the earliest latest start first; without it, jobs are served FIFO. */
   Order = 'order',
-  /** Jobs that are under way go before others. */
+  /** Serves jobs that are in progress before others. */
   UnderWayFirst = 'under_way_first',
-  /** Asking at once for runs that are overdue. */
+  /** Polls endpoints for runs that are overdue. */
   Looks = 'looks',
-  /** Sending an order to start again that got no answer. */
+  /** Resends orders to start a task that got no answer. */
   RepeatedStarts = 'repeated_starts',
-  /** Timeouts from measured round trips. */
+  /** Derives timeouts from measured round-trip times. */
   RoundTrips = 'round_trips',
-  /** Run times learnt from ended runs. */
+  /** Estimates run times from earlier runs. */
   LearnedEstimates = 'learned_estimates',
-  /** How slow an endpoint is against its peers. */
+  /** Takes into account how slow an endpoint is compared to its peers. */
   Slowness = 'slowness',
-  /** Leaving out endpoints that fail, and trying them again with single tasks. */
+  /** Ejects failing endpoints and probes them with single tasks. */
   Health = 'health',
-  /** Preferring other endpoints for a task that failed or was lost at one. */
+  /** Prefers other endpoints for a task that failed or was lost at one. */
   Avoidance = 'avoidance',
-  /** What is kept back of a job's time before its last moment to start. */
+  /** Reserves a margin before the latest start of a job. */
   StartMargin = 'start_margin',
-  /** Stopping runs that take far longer than estimated. */
+  /** Stops runs that take far longer than estimated. */
   Overrun = 'overrun',
-  /** Preferring endpoints where little room is left, so that room is kept together. */
+  /** Prefers endpoints with little free capacity, which reduces fragmentation (best fit). */
   CloseFit = 'close_fit',
-  /** Refusing new jobs while the leader itself is behind with its work. */
+  /** Refuses new jobs while the leader itself is overloaded. */
   IntakeLimit = 'intake_limit',
-  /** Starting new jobs before what an earlier leader started is known. */
+  /** Starts new jobs before the runs started by earlier leaders are known. */
   EarlyNewJobs = 'early_new_jobs',
-  /** Giving up tasks that take down the endpoints that start them. */
+  /** Gives up tasks that crash the endpoints that start them. */
   CrashBlame = 'crash_blame',
 }
--- a/packages/model/src/lib/endpointApi/endpointApi.ts
+++ b/packages/model/src/lib/endpointApi/endpointApi.ts
@@ -1,20 +1,20 @@
 /**
- * JSON bodies of the interface that an endpoint's HTTP server offers to its owner, and of the
- * heartbeat that it sends. `docs/openapi/endpoints.yaml` publishes them.
+ * JSON bodies of the HTTP API that an endpoint serves to its owner, and of the heartbeats that it
+ * sends. Published in `docs/openapi/endpoints.yaml`.
  */
 
-/** Body of `PUT /v1/tasks/{id}`. A repeated PUT of an id joins the first one. @public */
+/** Body of `PUT /v1/tasks/{id}`. A repeated PUT of an id joins the earlier run. @public */
 export interface RunTaskBody {
   readonly service: string
   /** Any JSON value, as the caller sent it. */
   readonly payload: unknown
-  /** The endpoint stops the task when this runs out without a renewal. */
+  /** Duration of the lease; the endpoint stops the task if it expires without a renewal. */
   readonly leaseMs: number
   readonly deadlineInMs: number
   readonly resources?: ResourcesBody
-  /** Boot of the endpoint that the owner means; another process refuses with `ran: no`. */
+  /** Boot of the endpoint that the request is for; any other boot refuses it with `ran: no`. */
   readonly boot?: number
-  /** Set to fetch the answer of a task that was sent before: an unknown id starts nothing. */
+  /** Set to fetch the answer of a task that was sent earlier; an unknown id is not started. */
   readonly join?: boolean
 }
 
@@ -26,16 +26,16 @@
 }
 
 /**
- * Answer 200 of `PUT /v1/tasks/{id}`. Else a problem document: 500 with `ran: yes` when the task
- * failed, 429 or 503 with `ran: no` when it was not started, 409 with `ran: no` when the id is
- * fenced, 410 with `ran: unknown` when it ended and its answer is forgotten.
+ * Answer 200 of `PUT /v1/tasks/{id}`. Errors are problem documents: 500 with `ran: yes` if the task
+ * failed, 429 or 503 with `ran: no` if it was not started, 409 with `ran: no` if the id is fenced,
+ * 410 with `ran: unknown` if the task ended and its answer is no longer stored.
  *
  * @public
  */
 export interface RunTaskAnswer {
   readonly output: unknown
   readonly runMs: number
-  /** The task that this answers; one for another task is dropped. */
+  /** The task that this answers; an answer for a different task is dropped. */
   readonly taskId?: string
 }
 
@@ -44,9 +44,9 @@
   readonly taskIds: readonly string[]
 }
 
-/** What the endpoint says of an id it was told to stop. @public */
+/** State of a task when the endpoint handles the request to stop it. @public */
 export enum StopAnswerState {
-  /** Never seen here, and fenced now: a later PUT is answered 409. */
+  /** Unknown at the endpoint, and fenced from now on: a later PUT gets a 409. */
   NeverSeen = 'never_seen',
   Stopped = 'stopped',
   Ended = 'ended',
@@ -64,18 +64,18 @@
   readonly taskIds: readonly string[]
 }
 
-/** Answer 200 of `POST /v1/leases`: the ids that run here. @public */
+/** Answer 200 of `POST /v1/leases`: the ids of the tasks that run at the endpoint. @public */
 export interface LeasesAnswer {
   readonly boot?: number
   readonly running: readonly string[]
 }
 
-/** Body of `POST /v1/endpoints/{id}/heartbeat` at an instance. @public */
+/** Body of `POST /v1/endpoints/{id}/heartbeat`, which an instance serves. @public */
 export interface HeartbeatBody {
   readonly service: string
   readonly zone: string
   readonly rack: string
-  /** Host and port of the endpoint's server. */
+  /** Host and port of the endpoint's HTTP server. */
   readonly address: string
   readonly slots: number
   readonly connections: number
--- a/packages/model/src/lib/ids/ids.test.ts
+++ b/packages/model/src/lib/ids/ids.test.ts
@@ -3,7 +3,7 @@
 import { formatJobId, formatTaskId, parseJobId, parseTaskId } from '../../index'
 
 describe('job and task ids', () => {
-  it('reads back what it wrote', () => {
+  it('parses the ids that it formatted', () => {
     const parts = { coordinator: 'ishikari-1a', boot: 1764701332000, sequence: 77 }
     const taskId = formatTaskId(formatJobId(parts), 119)
     const task = parseTaskId(taskId)
@@ -17,7 +17,7 @@
     })
   }
 
-  it('refuses a task id whose index is no number', () => {
+  it('refuses a task id whose index is not a number', () => {
     assert.equal(parseTaskId('a.1.2.x'), undefined)
   })
 })
--- a/packages/model/src/lib/ids/jobId.ts
+++ b/packages/model/src/lib/ids/jobId.ts
@@ -1,9 +1,9 @@
 import { isValidName } from './isValidName'
 
-/** What a job id says: who coordinates the job, in which boot, and its number there. @public */
+/** Components of a job id: its coordinator, the boot of that instance, and a number. @public */
 export interface JobIdParts {
   readonly coordinator: string
-  /** Boot number of the coordinator's process; a later boot does not know the job. */
+  /** Boot number of the coordinator; the job is unknown to later boots of that instance. */
   readonly boot: number
   readonly sequence: number
 }
@@ -12,12 +12,12 @@
 const PART_COUNT = 3
 const numberPattern = /^[0-9a-z]{1,11}$/
 
-/** Writes a job id such as `ishikari-1a.mb2k3x.7`. @public */
+/** Formats a job id such as `ishikari-1a.mb2k3x.7`. @public */
 export function formatJobId({ coordinator, boot, sequence }: JobIdParts): string {
   return `${coordinator}.${boot.toString(RADIX)}.${sequence.toString(RADIX)}`
 }
 
-/** Reads a job id; undefined when the text is none. @public */
+/** Parses a job id; undefined if the text is not one. @public */
 export function parseJobId(text: string): JobIdParts | undefined {
   const parts = text.split('.')
   const [coordinator, boot, sequence] = parts
--- a/packages/model/src/lib/ids/taskId.ts
+++ b/packages/model/src/lib/ids/taskId.ts
@@ -1,6 +1,6 @@
 import { parseJobId } from './jobId'
 
-/** A task id is its job's id and its index there. @public */
+/** Components of a task id: the id of its job and its index in that job. @public */
 export interface TaskIdParts {
   readonly jobId: string
   readonly index: number
@@ -8,17 +8,17 @@
 
 const indexPattern = /^\d{1,6}$/
 
-/** Writes a task id such as `ishikari-1a.mb2k3x.7.0`. @public */
+/** Formats a task id such as `ishikari-1a.mb2k3x.7.0`. @public */
 export function formatTaskId(jobId: string, index: number): string {
   return `${jobId}.${index}`
 }
 
-/** Reads a task id; undefined when the text is none. @public */
+/** Parses a task id; undefined if the text is not one. @public */
 export function parseTaskId(text: string): TaskIdParts | undefined {
-  const cut = text.lastIndexOf('.')
-  if (cut < 0) return undefined
-  const jobId = text.slice(0, cut)
-  const index = text.slice(cut + 1)
+  const dot = text.lastIndexOf('.')
+  if (dot < 0) return undefined
+  const jobId = text.slice(0, dot)
+  const index = text.slice(dot + 1)
   if (!indexPattern.test(index) || parseJobId(jobId) === undefined) return undefined
   return { jobId, index: Number(index) }
 }
--- a/packages/model/src/lib/spans/SpanRecord.ts
+++ b/packages/model/src/lib/spans/SpanRecord.ts
@@ -1,9 +1,9 @@
-/** One hop of a trace, as the state machines report it; telemetry exports it. @public */
+/** One span of a trace, reported by the state machines and exported by telemetry. @public */
 export interface SpanRecord {
   readonly name: string
   readonly traceId: string
   readonly spanId: string
-  /** Empty for a root. */
+  /** Empty for a root span. */
   readonly parentSpanId: string
   /** Milliseconds since the epoch. */
   readonly startMs: number
--- a/packages/model/src/lib/spans/traceparent.ts
+++ b/packages/model/src/lib/spans/traceparent.ts
@@ -4,14 +4,14 @@
 export interface Traceparent {
   /** 32 hexadecimal digits. */
   readonly traceId: string
-  /** 16 hexadecimal digits: the sender's span. */
+  /** 16 hexadecimal digits: the span of the sender. */
   readonly spanId: string
 }
 
 const traceparentPattern = /^00-([0-9a-f]{32})-([0-9a-f]{16})-[0-9a-f]{2}$/
 const SAMPLED = '01'
 
-/** Reads a W3C `traceparent`; undefined when it is missing or malformed. @public */
+/** Parses a W3C `traceparent`; undefined if it is empty or malformed. @public */
 export function parseTraceparent(text: string): Traceparent | undefined {
   const found = traceparentPattern.exec(text)
   const traceId = found?.[1]
@@ -21,8 +21,8 @@
 }
 
 /**
- * Derives a span id from a name that is unique in the system, such as a task id and a hop.
- * State machines stay pure this way: they draw no random numbers.
+ * Derives a span id from a string that is unique in the system, such as a task id and a hop. It is
+ * not random, so that state machines stay pure.
  *
  * @public
  */
@@ -30,13 +30,18 @@
   return hash64(seed)
 }
 
-/** A `traceparent` for a trace that starts here. @public */
+/** Creates a `traceparent` for a new trace. @public */
 export function rootTraceparent(seed: string): string {
   const traceId = hash64(`${seed}/high`) + hash64(`${seed}/low`)
   return `00-${traceId}-${deriveSpanId(seed)}-${SAMPLED}`
 }
 
-/** A `traceparent` of the same trace whose span id is derived from the seed. @public */
+/**
+ * Creates a `traceparent` in the trace of its parent, with a span id derived from the seed. Starts a
+ * new trace if the parent is empty or malformed.
+ *
+ * @public
+ */
 export function deriveTraceparent(parent: string, seed: string): string {
   const traceId = parseTraceparent(parent)?.traceId
   if (traceId === undefined) return rootTraceparent(seed)
--- a/packages/model/src/lib/util/exhaustive.ts
+++ b/packages/model/src/lib/util/exhaustive.ts
@@ -1,7 +1,7 @@
 /**
- * Closes a switch over a union: it does not compile while a case is missing.
+ * For the default case of a switch over a union, so that a missing case is a compile error.
  *
- * @throws Error when a value outside the union arrives at run time.
+ * @throws Error for a value outside the union at run time.
  * @public
  */
 export function exhaustive(value: never): never {
--- a/packages/model/src/lib/util/groupBy.ts
+++ b/packages/model/src/lib/util/groupBy.ts
@@ -1,4 +1,4 @@
-/** Groups items by a key, in the order of their first appearance. @public */
+/** Groups items by key. Groups are in the order in which their keys first appear. @public */
 export function groupBy<T, K>(items: Iterable<T>, keyOf: (item: T) => K): Map<K, T[]> {
   const groups = new Map<K, T[]>()
   for (const item of items) {
--- a/packages/model/src/lib/util/hash64.ts
+++ b/packages/model/src/lib/util/hash64.ts
@@ -3,7 +3,7 @@
 const SECOND_SEED = 0x9e3779b9
 const HEX_DIGITS = 8
 
-/** FNV-1a over UTF-16 units with a final mix, so that close texts differ in all bits. */
+/** FNV-1a over UTF-16 code units, with a finalizer so that similar texts differ in all bits. */
 function hash32(text: string, seed: number): number {
   let hash = seed
   for (let i = 0; i < text.length; i++) {
@@ -14,7 +14,7 @@
   return (hash ^ (hash >>> 16)) >>> 0
 }
 
-/** A stable 64-bit hash as 16 hexadecimal digits; not for security. @public */
+/** Stable, non-cryptographic 64-bit hash as 16 hexadecimal digits. @public */
 export function hash64(text: string): string {
   const high = hash32(text, OFFSET_BASIS).toString(16).padStart(HEX_DIGITS, '0')
   const low = hash32(text, SECOND_SEED).toString(16).padStart(HEX_DIGITS, '0')
--- a/packages/model/src/lib/util/results.ts
+++ b/packages/model/src/lib/util/results.ts
@@ -1,10 +1,10 @@
 import * as tsResults from 'ts-results'
 
 /**
- * Node.js loads the CommonJS build of `ts-results`, whose exports it shows only on the default
- * export; bundlers take the module build, which has none.
+ * Node.js loads the CommonJS build of `ts-results` and exposes its exports only as the default
+ * export; bundlers use the ES module build, which has no default export.
  */
 const loaded = tsResults as typeof tsResults & { readonly default?: typeof tsResults }
 
-/** The constructors of `ts-results`, in either way of loading it. @public */
+/** The constructors of `ts-results`, for both builds. @public */
 export const { Err, Ok } = loaded.default ?? loaded
--- a/packages/model/src/lib/util/seededRandom.test.ts
+++ b/packages/model/src/lib/util/seededRandom.test.ts
@@ -7,18 +7,18 @@
   return Array.from({ length: count }, () => random())
 }
 
-describe('a seeded generator', () => {
-  it('gives the same numbers for the same seed, and others for another', () => {
+describe('seededRandom', () => {
+  it('gives the same numbers for the same seed and different ones for another seed', () => {
     assert.deepEqual(draw(7, 20), draw(7, 20))
     assert.notDeepEqual(draw(7, 20), draw(8, 20))
   })
 
-  it('gives the numbers that the fixed seeds of the random runs were found with', () => {
+  it('gives the same numbers in every version, since tests rely on particular seeds', () => {
     const expected = [0.6270739405881613, 0.002735721180215478, 0.5274470399599522]
     assert.deepEqual(draw(1, 3), expected)
   })
 
-  it('gives numbers from 0 up to 1, evenly', () => {
+  it('gives numbers in [0, 1) with a mean of 0.5', () => {
     const numbers = draw(3, 10_000)
     assert.ok(numbers.every((number) => number >= 0 && number < 1))
     const mean = numbers.reduce((sum, number) => sum + number, 0) / numbers.length
--- a/packages/model/src/lib/util/seededRandom.ts
+++ b/packages/model/src/lib/util/seededRandom.ts
@@ -2,8 +2,8 @@
 const RANGE = 2 ** 32
 
 /**
- * Numbers from 0 up to 1, the same ones for the same seed (mulberry32). For runs that have to
- * repeat, and for spreading things in time; it can be guessed.
+ * Pseudo-random numbers in [0, 1), determined by the seed (mulberry32). For reproducible runs and
+ * for jitter; predictable, so unsuitable for security.
  *
  * @public
  */
--- a/packages/model/src/lib/util/splitAddress.ts
+++ b/packages/model/src/lib/util/splitAddress.ts
@@ -4,9 +4,9 @@
   readonly port: number
 }
 
-/** Splits a text such as `10.1.0.13:8161`; the brackets of an IPv6 host are left out. @public */
+/** Splits an address such as `10.1.0.13:8161`. Removes the brackets of an IPv6 host. @public */
 export function splitAddress(address: string): HostAndPort {
-  const cut = address.lastIndexOf(':')
-  const host = address.slice(0, cut).replace(/^\[|\]$/g, '')
-  return { host, port: Number(address.slice(cut + 1)) }
+  const colon = address.lastIndexOf(':')
+  const host = address.slice(0, colon).replace(/^\[|\]$/g, '')
+  return { host, port: Number(address.slice(colon + 1)) }
 }
--- a/packages/model/src/lib/views/InstanceView.ts
+++ b/packages/model/src/lib/views/InstanceView.ts
@@ -1,22 +1,22 @@
 import type { InstanceState, ServiceSummary } from '@cherryhitch/protocol'
 
-/** What this instance knows of one instance, itself included. @public */
+/** The last known state of one instance, as seen by the local instance. @public */
 export interface InstanceView {
   readonly instance: string
   readonly boot: number
   readonly zone: string
   readonly state: InstanceState
-  /** False once it has been silent for longer than the limit of membership. */
+  /** False if no heartbeat arrived within the timeout of membership. */
   readonly alive: boolean
-  /** True for the instance that holds the view. */
+  /** True for the local instance. */
   readonly self: boolean
-  /** What it offers as an owner, per service. */
+  /** The capacity that it offers as an owner, by service. */
   readonly services: readonly ServiceSummary[]
-  /** When it was last heard of, in milliseconds of the local clock. */
+  /** When its last heartbeat arrived, in milliseconds of the local clock. */
   readonly heardAt: number
-  /** Smoothed round trip over the link to it, in milliseconds; 0 for itself. */
+  /** Smoothed round-trip time of the link to it, in milliseconds; 0 for the local instance. */
   readonly roundTripMs: number
-  /** Host and port where endpoints reach it. */
+  /** Host and port of its API for endpoints. */
   readonly endpointAddress: string
   readonly settingsVersion: number
 }
--- a/packages/model/src/lib/views/Problem.ts
+++ b/packages/model/src/lib/views/Problem.ts
@@ -1,14 +1,14 @@
-/** Whether the work behind a refusal or failure ran. @public */
+/** Whether the requested work ran, for a refusal or failure. @public */
 export enum ProblemRan {
-  /** It truly did not run. */
+  /** It certainly did not run. */
   No = 'no',
   /** It may have run. */
   Unknown = 'unknown',
-  /** It ran; only endpoints say so. */
+  /** It ran. Only sent by endpoints. */
   Yes = 'yes',
 }
 
-/** Problem document after RFC 9457, with our extension members. @public */
+/** Problem document of RFC 9457 with extension members. @public */
 export interface Problem {
   readonly type: string
   readonly title: string
@@ -16,6 +16,6 @@
   readonly detail: string
   readonly ran: ProblemRan
   readonly jobId?: string
-  /** When to come back, in seconds. */
+  /** Time after which to retry, in seconds. */
   readonly retryAfter?: number
 }
