--- a/packages/policy/src/lib/bench/admissionBench.ts
+++ b/packages/policy/src/lib/bench/admissionBench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures admission under a burst of ten times the capacity: run with
+ * Benchmark of admission under a burst of ten times the capacity. Run with
  * `npx tsx packages/policy/src/lib/bench/admissionBench.ts`.
  */
 import { create } from '@bufbuild/protobuf'
@@ -30,11 +30,11 @@
 
 const preset = create(PresetDefinitionSchema, { jobsInFlightPerInstance: 200 })
 const admissions: Record<string, () => Admission> = {
-  'limit of jobs': () => new QueueLimitAdmission(preset),
+  'job limit': () => new QueueLimitAdmission(preset),
   'predicted finish': () => new PredictedFinishAdmission(),
-  'share always binds': () => new PredictedFinishAdmission({ contentionThreshold: 0 }),
-  'safety 2': () => new PredictedFinishAdmission({ waitSafetyFactor: 2 }),
-  'returns not paced': () => new PredictedFinishAdmission({ paceRetries: false }),
+  'share always enforced': () => new PredictedFinishAdmission({ contentionThreshold: 0 }),
+  'wait safety factor 2': () => new PredictedFinishAdmission({ waitSafetyFactor: 2 }),
+  'retries not paced': () => new PredictedFinishAdmission({ paceRetries: false }),
   'whole queue ahead': () => new PredictedFinishAdmission({ byDueTime: false }),
 }
 
@@ -49,20 +49,23 @@
 const percent = (part: number, whole: number): string =>
   ((100 * part) / Math.max(1, whole)).toFixed(1)
 
-function describe(one: BurstOutcome): Record<string, string | number> {
-  const refusals = Object.entries(one.refusals).map(
+function describe(outcome: BurstOutcome): Record<string, string | number> {
+  const refusals = Object.entries(outcome.refusals).map(
     ([reason, n]) => `${Reason[Number(reason)]} ${n}`,
   )
   return {
-    jobs: one.offered,
-    'admitted %': percent(one.admitted, one.offered),
-    'singles admitted %': percent(one.admittedSingles, one.offeredSingles),
-    'light callers admitted %': percent(one.lightAdmitted, one.lightOffered),
-    'late of admitted %': percent(one.late, one.admitted),
-    'too long %': percent(one.tooLong, one.admitted),
-    'slots busy %': percent(one.busyShare, 1),
-    'useful %': percent(one.usefulShare, 1),
-    'comebacks admitted %': percent(one.comebacksAdmitted, one.comebacks),
+    jobs: outcome.offered,
+    'admitted %': percent(outcome.admitted, outcome.offered),
+    'singles admitted %': percent(outcome.admittedSingles, outcome.offeredSingles),
+    'light callers admitted %': percent(
+      outcome.admittedFromLightCallers,
+      outcome.offeredByLightCallers,
+    ),
+    'late of admitted %': percent(outcome.late, outcome.admitted),
+    'too long %': percent(outcome.tooLong, outcome.admitted),
+    'slots busy %': percent(outcome.busyShare, 1),
+    'useful %': percent(outcome.usefulShare, 1),
+    'retries admitted %': percent(outcome.retriesAdmitted, outcome.retries),
     refusals: refusals.join(', '),
   }
 }
--- a/packages/policy/src/lib/bench/costBench.ts
+++ b/packages/policy/src/lib/bench/costBench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures what decisions cost in processor time: run with
+ * Benchmark of the processor time of scheduling decisions. Run with
  * `npx tsx packages/policy/src/lib/bench/costBench.ts`.
  */
 import { performance } from 'node:perf_hooks'
@@ -20,7 +20,7 @@
 const ROUNDS = 5
 const JOB_TASKS = 10
 
-/** Best of some rounds, in microseconds for each call. */
+/** Time per call in the fastest round, in microseconds. */
 function cost(calls: number, call: (index: number) => void): string {
   let best = Infinity
   for (let round = 0; round < ROUNDS; round++) {
@@ -33,7 +33,7 @@
 
 const random = seededRandom(1)
 
-function task(number: number): QueuedTask {
+function createTask(number: number): QueuedTask {
   return {
     taskId: `t${number}`,
     jobId: `j${Math.floor(number / JOB_TASKS)}`,
@@ -51,16 +51,16 @@
 function queueCost(make: () => TaskQueue<QueuedTask>, queued: number): Record<string, string> {
   const calls = 20_000
   const queue = make()
-  const waiting = Array.from({ length: calls * ROUNDS + queued }, (_, number) => task(number))
-  for (const one of waiting.slice(0, queued)) queue.push(0, one)
+  const waiting = Array.from({ length: calls * ROUNDS + queued }, (_, number) => createTask(number))
+  for (const queuedTask of waiting.slice(0, queued)) queue.push(0, queuedTask)
   const pushPop = cost(calls, (index) => {
     const next = waiting[queued + index]
     if (next !== undefined) queue.push(index, next)
     queue.pop(index, () => true)
   })
-  const nothingFits = cost(200, () => queue.pop(0, () => false))
+  const popWithoutFit = cost(200, () => queue.pop(0, () => false))
   const sizeOf = cost(1000, (index) => queue.sizeOf(`c${index % 50}`))
-  return { 'push and pop': pushPop, 'pop, nothing fits': nothingFits, sizeOf }
+  return { 'push and pop': pushPop, 'pop, nothing fits': popWithoutFit, sizeOf }
 }
 
 console.log('\nqueues, µs')
@@ -84,7 +84,7 @@
   roundTripMs: 3,
   unreported: 3,
 }))
-const job = (count: number): RoutedTask[] =>
+const createTasks = (count: number): RoutedTask[] =>
   Array.from({ length: count }, (_, index) => ({
     index,
     service: 's',
@@ -92,8 +92,8 @@
     resources: undefined,
   }))
 
-const single = job(1)
-const large = job(120)
+const single = createTasks(1)
+const large = createTasks(120)
 const router = new MeasuredWaitRouter()
 const admission = new PredictedFinishAdmission()
 const decide = (tasks: readonly RoutedTask[], now: number) =>
@@ -116,7 +116,7 @@
 const health: EndpointHealth = new DecayedScoreHealth()
 const endpoints = Array.from({ length: 33 }, (_, index) => `e${index}`)
 for (const endpoint of endpoints) health.add(endpoint, 's')
-const at = (index: number): string => endpoints[index % endpoints.length] ?? ''
+const endpointAt = (index: number): string => endpoints[index % endpoints.length] ?? ''
 const candidates = endpoints.slice(0, 11).map((endpoint, index) => ({
   endpoint,
   rack: `r${index % 3}`,
@@ -126,7 +126,7 @@
   sameJobHere: index % 2,
   sameJobInRack: index % 3,
 }))
-const some = task(1)
+const sampleTask = createTask(1)
 
 console.log('\ndecisions, µs')
 console.table({
@@ -134,22 +134,22 @@
   'assign 120 tasks to 7 offers': cost(500, (now) => router.assign(now, 'z0', large, offers)),
   'admit a job of 1 task': cost(20_000, (now) => decide(single, now)),
   'admit a job of 120 tasks': cost(500, (now) => decide(large, now)),
-  'pick one of 11 endpoints': cost(20_000, (now) => picker.pick(now, some, candidates)),
-  'observe a run and read slowness': cost(20_000, (now) => {
-    const endpoint = at(now)
+  'pick one of 11 endpoints': cost(20_000, (now) => picker.pick(now, sampleTask, candidates)),
+  'record a run and read slowness': cost(20_000, (now) => {
+    const endpoint = endpointAt(now)
     slowness.observe(now / 10, { endpoint, service: 's', estimateMs: 200, runMs: 220 })
     slowness.slowness(now / 10, endpoint)
   }),
-  'estimate and observe': cost(20_000, (now) => {
+  'estimate and learn': cost(20_000, (now) => {
     const subject = { caller: `c${now % 500}`, service: 's', declaredMs: 200 }
     estimator.estimate(subject)
     estimator.observe(now, subject, 300)
   }),
   'record a success': cost(20_000, (now) => {
-    health.recordSuccess(now, { endpoint: at(now), service: 's', jobId: `j${now}` }, 200)
+    health.recordSuccess(now, { endpoint: endpointAt(now), service: 's', jobId: `j${now}` }, 200)
   }),
   'record a failure': cost(20_000, (now) => {
-    const seen = { endpoint: at(now), service: 's', jobId: `f${now}` }
-    health.recordFailure(now, seen, HealthFailure.TaskFailed)
+    const observation = { endpoint: endpointAt(now), service: 's', jobId: `f${now}` }
+    health.recordFailure(now, observation, HealthFailure.TaskFailed)
   }),
 })
--- a/packages/policy/src/lib/bench/estimateBench.ts
+++ b/packages/policy/src/lib/bench/estimateBench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures how far estimates are off: run with
+ * Benchmark of the accuracy of run time estimates. Run with
  * `npx tsx packages/policy/src/lib/bench/estimateBench.ts`.
  */
 import { DeclaredEstimator } from '../estimates/DeclaredEstimator'
@@ -19,27 +19,27 @@
 type Draw = (random: () => number, index: number) => Sample
 
 const draws: Record<string, Draw> = {
-  'declared right, same for all': () => ({ declaredMs: 200, meanMs: 200 }),
-  'declared right, differs by task': (random) => {
+  'declared correctly, same for all tasks': () => ({ declaredMs: 200, meanMs: 200 }),
+  'declared correctly, differs by task': (random) => {
     const meanMs = 50 * 20 ** random()
     return { declaredMs: meanMs, meanMs }
   },
-  'ten times too long': () => ({ declaredMs: 2000, meanMs: 200 }),
-  'ten times too short': () => ({ declaredMs: 20, meanMs: 200 }),
-  'ten times too long, differs by task': (random) => {
+  'declared ten times too long': () => ({ declaredMs: 2000, meanMs: 200 }),
+  'declared ten times too short': () => ({ declaredMs: 20, meanMs: 200 }),
+  'declared ten times too long, differs by task': (random) => {
     const meanMs = 50 * 20 ** random()
     return { declaredMs: 10 * meanMs, meanMs }
   },
-  'off by up to ten times at random': (random) => ({
+  'declared wrong by a random factor of up to ten': (random) => ({
     declaredMs: 200 * 100 ** (random() - 0.5),
     meanMs: 200,
   }),
   'nothing declared': () => ({ declaredMs: 0, meanMs: 700 }),
-  'one in twenty ten times longer': (random) => ({
+  'one task in twenty runs ten times longer': (random) => ({
     declaredMs: 200,
     meanMs: random() < 0.05 ? 2000 : 200,
   }),
-  'four times slower from task 200 on': (_random, index) => ({
+  'tasks run four times longer from task 200 on': (_random, index) => ({
     declaredMs: 200,
     meanMs: index < 200 ? 200 : 800,
   }),
@@ -52,7 +52,7 @@
   'prior 10': () => new LearnedEstimator({ priorWeight: 10 }),
 }
 
-/** Mean factor between estimate and true mean, for the first tasks and for the last ones. */
+/** Geometric mean error of the estimates, as a factor, for the first and for the last tasks. */
 function measure(draw: Draw, estimator: RunTimeEstimator): { early: string; late: string } {
   const random = seededRandom(5)
   const errors: number[] = []
--- a/packages/policy/src/lib/bench/healthBench.ts
+++ b/packages/policy/src/lib/bench/healthBench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the health rules against each other: run with
+ * Benchmark that compares the health rules. Run with
  * `npx tsx packages/policy/src/lib/bench/healthBench.ts`.
  */
 import { AlwaysHealthy } from '../health/AlwaysHealthy'
@@ -28,27 +28,27 @@
   none: () => new AlwaysHealthy(),
   consecutive: () => new ConsecutiveFailureHealth(),
   'decayed score': () => new DecayedScoreHealth(),
-  'decayed, relief 0.5': () => new DecayedScoreHealth({ successDecayFactor: 0.5 }),
-  'decayed, relief 0.75': () => new DecayedScoreHealth({ successDecayFactor: 0.75 }),
-  'decayed, k 1': () => new DecayedScoreHealth({ aggressiveness: 1 }),
+  'decayed, success factor 0.5': () => new DecayedScoreHealth({ successDecayFactor: 0.5 }),
+  'decayed, success factor 0.75': () => new DecayedScoreHealth({ successDecayFactor: 0.75 }),
+  'decayed, aggressiveness 1': () => new DecayedScoreHealth({ aggressiveness: 1 }),
 }
 
-const tenSecondsEach = (sinceMs: number): number => (Math.floor(sinceMs / 10_000) % 2 === 0 ? 1 : 0)
+const failsOnAndOff = (sinceMs: number): number => (Math.floor(sinceMs / 10_000) % 2 === 0 ? 1 : 0)
 const scenarios: Record<string, HealthScenario> = {
-  'fails all, fast (5 ms)': base,
-  'fails all, slowly (2 s)': { ...base, failMs: 2000 },
-  'fails half': { ...base, badShare: () => 0.5, failMs: 100 },
-  'fails 30 %': { ...base, badShare: () => 0.3, failMs: 100 },
-  'flaps every 10 s': { ...base, badShare: tenSecondsEach },
-  'refuses all': { ...base, refuses: true },
-  'three of 11 fail all, fast': { ...base, bad: 3 },
-  'seven of 11 fail all, fast': { ...base, bad: 7 },
-  '2 % of jobs fail everywhere': { ...base, bad: 0, poison: 0.02 },
-  '30 % of jobs fail everywhere': { ...base, bad: 0, poison: 0.3 },
-  '5 % of tasks fail anywhere': { ...base, bad: 0, noise: 0.05 },
-  '10 % of tasks fail anywhere': { ...base, bad: 0, noise: 0.1 },
-  '20 % of tasks fail anywhere': { ...base, bad: 0, noise: 0.2 },
-  'all 11 fail all for 60 s': {
+  'fails all tasks, fast (5 ms)': base,
+  'fails all tasks, slowly (2 s)': { ...base, failMs: 2000 },
+  'fails half of the tasks': { ...base, badShare: () => 0.5, failMs: 100 },
+  'fails 30 % of the tasks': { ...base, badShare: () => 0.3, failMs: 100 },
+  'fails all tasks, on and off every 10 s': { ...base, badShare: failsOnAndOff },
+  'refuses all tasks': { ...base, refuses: true },
+  'three of 11 endpoints fail all tasks, fast': { ...base, bad: 3 },
+  'seven of 11 endpoints fail all tasks, fast': { ...base, bad: 7 },
+  '2 % of jobs fail at every endpoint': { ...base, bad: 0, poison: 0.02 },
+  '30 % of jobs fail at every endpoint': { ...base, bad: 0, poison: 0.3 },
+  '5 % of tasks fail at random': { ...base, bad: 0, noise: 0.05 },
+  '10 % of tasks fail at random': { ...base, bad: 0, noise: 0.1 },
+  '20 % of tasks fail at random': { ...base, bad: 0, noise: 0.2 },
+  'all 11 endpoints fail all tasks for 60 s': {
     ...base,
     bad: 11,
     failMs: 100,
@@ -65,13 +65,13 @@
   const average = (value: (run: (typeof runs)[number]) => number): number => mean(runs.map(value))
   const ejected = runs.flatMap((run) => run.ejectedAfterMs)
   return {
-    'ejected of bad': `${ejected.length}/${scenario.bad * SEEDS.length}`,
-    'after ms': mean(ejected).toFixed(0),
-    'tasks lost by then': mean(runs.flatMap((run) => run.failuresBeforeEjection)).toFixed(1),
-    'failures there in all': average((run) => run.badFailures).toFixed(0),
+    'faulty endpoints ejected': `${ejected.length}/${scenario.bad * SEEDS.length}`,
+    'ejected after ms': mean(ejected).toFixed(0),
+    'failures before ejection': mean(runs.flatMap((run) => run.failuresBeforeEjection)).toFixed(1),
+    'failures at faulty endpoints': average((run) => run.badFailures).toFixed(0),
     'false ejections': average((run) => run.falseEjections).toFixed(1),
-    'good time lost %': (100 * average((run) => run.goodTimeLost)).toFixed(2),
-    'good jobs failed %': (100 * average((run) => run.failedJobs / run.jobs)).toFixed(2),
+    'healthy time lost %': (100 * average((run) => run.healthyTimeLost)).toFixed(2),
+    'valid jobs failed %': (100 * average((run) => run.failedJobs / run.jobs)).toFixed(2),
   }
 }
 
--- a/packages/policy/src/lib/bench/orderBench.ts
+++ b/packages/policy/src/lib/bench/orderBench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the orders of the queue against each other: run with
+ * Benchmark that compares the queue orders. Run with
  * `npx tsx packages/policy/src/lib/bench/orderBench.ts`.
  */
 import { DeadlineFairQueue } from '../order/DeadlineFairQueue'
@@ -18,7 +18,7 @@
   deadlineMs: 30_000,
   heavyShare: 0.05,
   callers: 20,
-  flood: 0,
+  floodJobs: 0,
   tightShare: 0,
 }
 
@@ -78,23 +78,27 @@
   '97 % load': { ...base, load: 0.97 },
   '90 % load, half the deadlines 3 s': { ...base, tightShare: 0.5 },
   '97 % load, half the deadlines 3 s': { ...base, load: 0.97, tightShare: 0.5 },
-  '60 % load, one caller sends 4,000 enquiries at once': { ...base, load: 0.6, flood: 4000 },
-  '60 % load of 24 slots, one caller sends 1,000 enquiries at once': {
+  '60 % load, one caller sends 4,000 single-task jobs at once': {
+    ...base,
+    load: 0.6,
+    floodJobs: 4000,
+  },
+  '60 % load of 24 slots, one caller sends 1,000 single-task jobs at once': {
     ...base,
     slots: 24,
     load: 0.6,
     jobs: 3000,
-    flood: 1000,
+    floodJobs: 1000,
   },
-  '60 % load of 264 slots, one caller sends 10,000 enquiries at once': {
+  '60 % load of 264 slots, one caller sends 10,000 single-task jobs at once': {
     ...base,
     slots: 264,
     load: 0.6,
     jobs: 12_000,
-    flood: 10_000,
+    floodJobs: 10_000,
   },
-  '90 % load, one caller sends half': { ...base, heavyShare: 0.5 },
-  '110 % load, one caller sends half, deadline 10 s': {
+  '90 % load, one caller sends half of the jobs': { ...base, heavyShare: 0.5 },
+  '110 % load, one caller sends half of the jobs, deadline 10 s': {
     ...base,
     load: 1.1,
     jobs: 3000,
--- a/packages/policy/src/lib/bench/placementBench.ts
+++ b/packages/policy/src/lib/bench/placementBench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures pickers against each other beside stragglers: run with
+ * Benchmark that compares the pickers in the presence of stragglers. Run with
  * `npx tsx packages/policy/src/lib/bench/placementBench.ts`.
  */
 import { RandomPicker } from '../placement/RandomPicker'
@@ -29,7 +29,10 @@
   'spread and fast': (scenario) => [new SpreadFastPicker(), scenario],
   'with outlook': (scenario) => [new SpreadFastPicker(), { ...scenario, tellsOutlook: true }],
   'never holds': (scenario) => [new SpreadFastPicker({ maxHoldMs: 0 }), scenario],
-  'straggler from 4': (scenario) => [new SpreadFastPicker({ stragglerSlowness: 4 }), scenario],
+  'stragglers from slowness 4': (scenario) => [
+    new SpreadFastPicker({ stragglerSlowness: 4 }),
+    scenario,
+  ],
   'holds up to 20 s': (scenario) => [
     new SpreadFastPicker({ maxHoldMs: 20_000 }),
     { ...scenario, tellsOutlook: true },
--- a/packages/policy/src/lib/bench/routingBench.ts
+++ b/packages/policy/src/lib/bench/routingBench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures routers against each other over three zones: run with
+ * Benchmark that compares the routers in three zones. Run with
  * `npx tsx packages/policy/src/lib/bench/routingBench.ts`.
  */
 import { MeasuredWaitRouter } from '../routing/MeasuredWaitRouter'
@@ -10,11 +10,11 @@
 import type { RoutingScenario } from './simulateRouting'
 
 const base: RoutingScenario = {
-  slotsEach: 88,
+  slotsPerZone: 88,
   loads: [0.6, 0.6, 0.6],
-  instancesEach: 2,
+  instancesPerZone: 2,
   reportMs: 100,
-  betweenZonesMs: 1.5,
+  crossZoneDelayMs: 1.5,
   endMs: 120_000,
   seed: 13,
 }
@@ -50,13 +50,13 @@
 for (const [title, scenario] of Object.entries(scenarios)) {
   console.log(`\n${title}: response over ideal`)
   const rows = Object.entries(routers).map(([name, make]) => {
-    const { stretches, tasks, tasksElsewhere } = new RoutingSimulation(scenario, make).run()
+    const { stretches, tasks, tasksInOtherZones } = new RoutingSimulation(scenario, make).run()
     const mean = stretches.reduce((sum, one) => sum + one, 0) / stretches.length
     const row = {
       mean: mean.toFixed(3),
       p95: quantile(stretches, 0.95)?.toFixed(2),
       p99: quantile(stretches, 0.99)?.toFixed(2),
-      'tasks in other zones %': ((100 * tasksElsewhere) / tasks).toFixed(1),
+      'tasks in other zones %': ((100 * tasksInOtherZones) / tasks).toFixed(1),
     }
     return [name, row]
   })
--- a/packages/policy/src/lib/bench/simulateAdmission.ts
+++ b/packages/policy/src/lib/bench/simulateAdmission.ts
@@ -4,15 +4,15 @@
 import { IndexedHeap } from '../util/IndexedHeap'
 import { seededRandom } from '@cherryhitch/model'
 import { drawCaller, drawJob, drawSize, idealMs, MEAN_RUN_MS, MEAN_TASKS } from './workload'
-import type { CallerMix, SimulatedJob, SimulatedTask } from './workload'
+import type { CallerDistribution, SimulatedJob, SimulatedTask } from './workload'
 
-/** Several instances that admit jobs to one queue, and a burst. @internal */
-export interface BurstScenario extends CallerMix {
+/** Several instances that admit jobs to one queue, under a burst of load. @internal */
+export interface BurstScenario extends CallerDistribution {
   readonly slots: number
   readonly instances: number
-  /** How often instances learn how full the queue is. */
+  /** Interval at which the instances learn the state of the queue. */
   readonly reportMs: number
-  /** Arriving work over capacity, before and after the burst, and during it. */
+  /** Ratio of arriving work to capacity outside the burst; `burstLoad` is the ratio during it. */
   readonly baseLoad: number
   readonly burstLoad: number
   readonly burstFromMs: number
@@ -23,26 +23,26 @@
   readonly seed: number
 }
 
-/** What became of the jobs. @internal */
+/** Results of one run, in numbers of jobs unless noted. @internal */
 export interface BurstOutcome {
   offered: number
   admitted: number
   admittedSingles: number
   offeredSingles: number
   onTime: number
-  /** Late, though their run times alone would have fitted the deadline. */
+  /** Finished late, although the deadline was feasible with all slots to themselves. */
   late: number
-  /** Late because their run times alone were too long, against the estimate. */
+  /** Finished late because their actual run times, unlike the estimates, made it infeasible. */
   tooLong: number
-  comebacks: number
-  comebacksAdmitted: number
+  retries: number
+  retriesAdmitted: number
   /** Jobs that were never admitted. */
   givenUp: number
-  lightOffered: number
-  lightAdmitted: number
-  /** Share of the slots' time that was used from the burst's start until its end. */
+  offeredByLightCallers: number
+  admittedFromLightCallers: number
+  /** Share of the slots' time that was used by tasks started during the burst. */
   busyShare: number
-  /** The same, for work of jobs that ended on time. */
+  /** The same, for the tasks of jobs that finished on time during the burst. */
   usefulShare: number
   readonly refusals: Record<string, number>
 }
@@ -73,13 +73,13 @@
   unreported: number
 }
 
-/** One run; see `admissionBench.ts`. @internal */
+/** Simulates one run; see `admissionBench.ts`. @internal */
 export class BurstSimulation {
   private readonly random: () => number
   private readonly instances: Instance[]
   private readonly submissions = new IndexedHeap<Submission>()
   private readonly running = new IndexedHeap<RunningTask>()
-  private readonly jobs = new Map<string, { job: AdmittedJob; at: Instance; left: number }>()
+  private readonly jobs = new Map<string, { job: AdmittedJob; instance: Instance; left: number }>()
   private report = { freeSlots: 0, queuedTasks: 0, waitMs: 0 }
   private reportedAt = -Infinity
   private readonly outcome: BurstOutcome = {
@@ -90,11 +90,11 @@
     onTime: 0,
     late: 0,
     tooLong: 0,
-    comebacks: 0,
-    comebacksAdmitted: 0,
+    retries: 0,
+    retriesAdmitted: 0,
     givenUp: 0,
-    lightOffered: 0,
-    lightAdmitted: 0,
+    offeredByLightCallers: 0,
+    admittedFromLightCallers: 0,
     busyShare: 0,
     usefulShare: 0,
     refusals: {},
@@ -138,54 +138,58 @@
       const caller = drawCaller(this.scenario, this.random)
       const deadlineMs = deadlinesMs[Math.floor(this.random() * deadlinesMs.length)] ?? 0
       const jobId = String(number)
-      const frame = { jobId, caller, arrivesAt: at, deadlineMs, size: drawSize(this.random) }
-      const job = drawJob(frame, this.random)
+      const parameters = { jobId, caller, arrivesAt: at, deadlineMs, size: drawSize(this.random) }
+      const job = drawJob(parameters, this.random)
       this.submissions.push({ heapKey: at, heapIndex: -1, jobId, attempt: 0, job })
       this.outcome.offered += 1
       if (job.tasks.length === 1) this.outcome.offeredSingles += 1
-      if (caller !== 'c0') this.outcome.lightOffered += 1
+      if (caller !== 'c0') this.outcome.offeredByLightCallers += 1
     }
   }
 
   private submit(now: number, submission: Submission): void {
     this.refreshReport(now)
     const { job, jobId, attempt } = submission
-    const at = this.instances[Math.floor(this.random() * this.instances.length)]
-    if (at === undefined) return
+    const instance = this.instances[Math.floor(this.random() * this.instances.length)]
+    if (instance === undefined) return
     const deadlineAt = now + job.deadlineAt - job.arrivesAt
-    const decision = at.admission.decide(now, this.request(at, job, deadlineAt))
-    if (attempt > 0) this.outcome.comebacks += 1
+    const decision = instance.admission.decide(now, this.createRequest(instance, job, deadlineAt))
+    if (attempt > 0) this.outcome.retries += 1
     if (!decision.admitted) {
       const { refusals } = this.outcome
       refusals[decision.reason] = (refusals[decision.reason] ?? 0) + 1
-      const comesBack = decision.retryAfterMs > 0 && attempt + 1 < this.scenario.attempts
+      const willRetry = decision.retryAfterMs > 0 && attempt + 1 < this.scenario.attempts
       const heapKey = now + decision.retryAfterMs
-      if (comesBack)
+      if (willRetry)
         this.submissions.push({ heapKey, heapIndex: -1, job, jobId, attempt: attempt + 1 })
       else this.outcome.givenUp += 1
       return
     }
-    if (attempt > 0) this.outcome.comebacksAdmitted += 1
-    this.admit(now, at, { ...job, deadlineAt, admittedAt: now }, jobId)
+    if (attempt > 0) this.outcome.retriesAdmitted += 1
+    this.admit(now, instance, { ...job, deadlineAt, admittedAt: now }, jobId)
   }
 
-  private admit(now: number, at: Instance, job: AdmittedJob, jobId: string): void {
+  private admit(now: number, instance: Instance, job: AdmittedJob, jobId: string): void {
     const count = job.tasks.length
     this.outcome.admitted += 1
     if (count === 1) this.outcome.admittedSingles += 1
-    if (job.caller !== 'c0') this.outcome.lightAdmitted += 1
-    at.jobs += 1
-    at.tasks += count
-    at.unreported += count
-    at.perCaller.set(job.caller, (at.perCaller.get(job.caller) ?? 0) + count)
-    this.jobs.set(jobId, { job, at, left: count })
+    if (job.caller !== 'c0') this.outcome.admittedFromLightCallers += 1
+    instance.jobs += 1
+    instance.tasks += count
+    instance.unreported += count
+    instance.perCaller.set(job.caller, (instance.perCaller.get(job.caller) ?? 0) + count)
+    this.jobs.set(jobId, { job, instance, left: count })
     for (const task of job.tasks) {
       this.queue.push(now, { ...task, enqueuedAt: now, deadlineAt: job.deadlineAt })
     }
-    this.start(now)
+    this.startTasks(now)
   }
 
-  private request(at: Instance, job: SimulatedJob, deadlineAt: number): AdmissionRequest {
+  private createRequest(
+    instance: Instance,
+    job: SimulatedJob,
+    deadlineAt: number,
+  ): AdmissionRequest {
     const { slots, instances } = this.scenario
     const offer: OwnerOffer = {
       ...this.report,
@@ -196,17 +200,17 @@
       meanRunMs: MEAN_RUN_MS,
       largest: undefined,
       roundTripMs: 1,
-      unreported: at.unreported,
+      unreported: instance.unreported,
     }
-    const callers = new Set([...at.perCaller.keys(), job.caller]).size
+    const callers = new Set([...instance.perCaller.keys(), job.caller]).size
     return {
       caller: job.caller,
       tasks: job.tasks.map((task, index) => ({ ...task, index })),
       deadlineAt,
       offers: [offer],
-      jobsInFlight: at.jobs,
-      callerTasksInFlight: at.perCaller.get(job.caller) ?? 0,
-      tasksInFlight: at.tasks,
+      jobsInFlight: instance.jobs,
+      callerTasksInFlight: instance.perCaller.get(job.caller) ?? 0,
+      tasksInFlight: instance.tasks,
       activeCallers: callers,
       callerWeight: 1,
       instances,
@@ -229,13 +233,13 @@
       next = this.running.peek()
     ) {
       this.running.pop()
-      this.end(next.heapKey, next.task)
-      this.start(next.heapKey)
+      this.endTask(next.heapKey, next.task)
+      this.startTasks(next.heapKey)
     }
   }
 
-  private start(now: number): void {
-    for (const task of this.queue.removeExpired(now)) this.end(now, task)
+  private startTasks(now: number): void {
+    for (const task of this.queue.removeExpired(now)) this.endTask(now, task)
     while (this.running.size < this.scenario.slots) {
       const task = this.queue.pop(now, () => true)
       if (task === undefined) return
@@ -249,23 +253,23 @@
     return at >= burstFromMs && at < burstFromMs + burstMs
   }
 
-  private end(now: number, task: SimulatedTask): void {
+  private endTask(now: number, task: SimulatedTask): void {
     const state = this.jobs.get(task.jobId)
     if (state === undefined) return
-    const { job, at } = state
+    const { job, instance } = state
     state.left -= 1
     this.queue.noteProgress(task.jobId, state.left)
     if (state.left > 0) return
     this.jobs.delete(task.jobId)
     const tasks = job.tasks.length
-    at.jobs -= 1
-    at.tasks -= tasks
-    const held = (at.perCaller.get(job.caller) ?? 0) - tasks
-    if (held > 0) at.perCaller.set(job.caller, held)
-    else at.perCaller.delete(job.caller)
+    instance.jobs -= 1
+    instance.tasks -= tasks
+    const held = (instance.perCaller.get(job.caller) ?? 0) - tasks
+    if (held > 0) instance.perCaller.set(job.caller, held)
+    else instance.perCaller.delete(job.caller)
     const onTime = now <= job.deadlineAt
-    const couldBe = idealMs(job, this.scenario.slots) <= job.deadlineAt - job.admittedAt
-    this.outcome[onTime ? 'onTime' : couldBe ? 'late' : 'tooLong'] += 1
+    const wasFeasible = idealMs(job, this.scenario.slots) <= job.deadlineAt - job.admittedAt
+    this.outcome[onTime ? 'onTime' : wasFeasible ? 'late' : 'tooLong'] += 1
     if (!onTime || !this.inBurst(now)) return
     this.outcome.usefulShare += job.tasks.reduce((sum, { runMs }) => sum + runMs, 0)
   }
--- a/packages/policy/src/lib/bench/simulateHealth.ts
+++ b/packages/policy/src/lib/bench/simulateHealth.ts
@@ -4,45 +4,45 @@
 import { seededRandom } from '@cherryhitch/model'
 import { drawJob, drawSize, MEAN_RUN_MS, MEAN_TASKS } from './workload'
 
-/** How endpoints and jobs misbehave. @internal */
+/** The simulated endpoints and jobs, and their failures. @internal */
 export interface HealthScenario {
   readonly endpoints: number
   readonly slotsEach: number
   readonly load: number
   readonly endMs: number
   readonly seed: number
-  /** These, the first ones, misbehave from a quarter of the run on. */
+  /** Number of faulty endpoints. Their fault begins after a quarter of the run. */
   readonly bad: number
-  /** Share of tasks that fail at a bad endpoint, at an instant after it went bad. */
+  /** Share of tasks that fail at a faulty endpoint, by the time since its fault began. */
   readonly badShare: (sinceMs: number) => number
-  /** Run time of a task that fails at a bad endpoint. */
+  /** Run time of a task that fails at a faulty endpoint. */
   readonly failMs: number
-  /** Whether a bad endpoint refuses tasks in place of failing them. */
+  /** Whether faulty endpoints refuse tasks instead of running and failing them. */
   readonly refuses: boolean
-  /** Share of tasks that fail anywhere. */
+  /** Share of tasks that fail at random, at any endpoint. */
   readonly noise: number
-  /** Share of jobs that fail wherever they run. */
+  /** Share of jobs that fail at every endpoint. */
   readonly poison: number
 }
 
-/** What the rule made of it. @internal */
+/** Results of a health rule in one run. @internal */
 export interface HealthOutcome {
-  /** From going bad until the first ejection, for each bad endpoint that was ejected. */
+  /** Time from the fault to the first ejection, for each faulty endpoint that was ejected. */
   readonly ejectedAfterMs: number[]
   readonly failuresBeforeEjection: number[]
   falseEjections: number
-  /** Failures and refusals at bad endpoints. */
+  /** Failures and refusals at faulty endpoints. */
   badFailures: number
-  /** Share of the good endpoints' time that was taken from them. */
-  goodTimeLost: number
+  /** Share of the healthy endpoints' time during which their state was not Healthy. */
+  healthyTimeLost: number
   jobs: number
-  /** Jobs without poison that failed. */
+  /** Jobs that failed, without those that fail at every endpoint. */
   failedJobs: number
 }
 
 interface SimulatedEndpoint {
   readonly name: string
-  readonly isBad: boolean
+  readonly isFaulty: boolean
   busy: number
   failures: number
   wasEjected: boolean
@@ -50,53 +50,53 @@
   lastStateAt: number
 }
 
-interface Waiting {
+interface WaitingTask {
   readonly job: JobState
   readonly runMs: number
 }
 
 interface JobState {
   readonly jobId: string
-  readonly isPoisonous: boolean
+  readonly alwaysFails: boolean
   failed: boolean
 }
 
-interface Running {
+interface RunningTask {
   heapKey: number
   heapIndex: number
-  readonly task: Waiting
-  readonly at: SimulatedEndpoint
+  readonly task: WaitingTask
+  readonly endpoint: SimulatedEndpoint
   readonly failure: HealthFailure | undefined
 }
 
-const REFUSE_MS = 2
+const REFUSAL_MS = 2
 
-/** One run; see `healthBench.ts`. @internal */
+/** Simulates one run; see `healthBench.ts`. @internal */
 export class HealthSimulation {
   readonly outcome: HealthOutcome = {
     ejectedAfterMs: [],
     failuresBeforeEjection: [],
     falseEjections: 0,
     badFailures: 0,
-    goodTimeLost: 0,
+    healthyTimeLost: 0,
     jobs: 0,
     failedJobs: 0,
   }
   private readonly random: () => number
   private readonly endpoints: SimulatedEndpoint[]
-  private readonly running = new IndexedHeap<Running>()
-  private waiting: Waiting[] = []
-  private readonly badFrom: number
+  private readonly running = new IndexedHeap<RunningTask>()
+  private waiting: WaitingTask[] = []
+  private readonly faultAt: number
 
   constructor(
     private readonly scenario: HealthScenario,
     private readonly health: EndpointHealth,
   ) {
     this.random = seededRandom(scenario.seed)
-    this.badFrom = scenario.endMs / 4
+    this.faultAt = scenario.endMs / 4
     this.endpoints = Array.from({ length: scenario.endpoints }, (_, index) => ({
       name: `e${index}`,
-      isBad: index < scenario.bad,
+      isFaulty: index < scenario.bad,
       busy: 0,
       failures: 0,
       wasEjected: false,
@@ -114,15 +114,16 @@
       at -= Math.log(1 - this.random()) * gapMs
       this.runUntil(at)
       const jobId = `j${number}`
-      const job = { jobId, isPoisonous: this.random() < poison, failed: false }
+      const job = { jobId, alwaysFails: this.random() < poison, failed: false }
       const size = drawSize(this.random)
-      const frame = { jobId, caller: 'c', arrivesAt: at, deadlineMs: 1e9, size }
-      for (const { runMs } of drawJob(frame, this.random).tasks) this.waiting.push({ job, runMs })
+      const parameters = { jobId, caller: 'c', arrivesAt: at, deadlineMs: 1e9, size }
+      for (const { runMs } of drawJob(parameters, this.random).tasks)
+        this.waiting.push({ job, runMs })
       this.outcome.jobs += 1
-      this.start(at)
+      this.startTasks(at)
     }
-    const good = (endpoints - this.scenario.bad) * endMs
-    this.outcome.goodTimeLost /= Math.max(1, good)
+    const healthyMs = (endpoints - this.scenario.bad) * endMs
+    this.outcome.healthyTimeLost /= Math.max(1, healthyMs)
     return this.outcome
   }
 
@@ -133,22 +134,23 @@
       next = this.running.peek()
     ) {
       this.running.pop()
-      this.end(next.heapKey, next)
-      this.start(next.heapKey)
+      this.endTask(next.heapKey, next)
+      this.startTasks(next.heapKey)
     }
   }
 
-  private start(now: number): void {
+  private startTasks(now: number): void {
     this.waiting = this.waiting.filter(({ job }) => !job.failed)
     while (this.waiting.length > 0) {
-      const at = this.leastBusy(now)
-      if (at === undefined) return
+      const endpoint = this.leastBusy(now)
+      if (endpoint === undefined) return
       const task = this.waiting.shift()
       if (task === undefined) return
-      at.busy += 1
-      const failure = this.drawFailure(now, at, task.job)
-      const runMs = failure === undefined ? task.runMs : this.failureMs(at, failure, task.runMs)
-      this.running.push({ heapKey: now + runMs, heapIndex: -1, task, at, failure })
+      endpoint.busy += 1
+      const failure = this.drawFailure(now, endpoint, task.job)
+      const runMs =
+        failure === undefined ? task.runMs : this.failureMs(endpoint, failure, task.runMs)
+      this.running.push({ heapKey: now + runMs, heapIndex: -1, task, endpoint, failure })
     }
   }
 
@@ -164,65 +166,65 @@
 
   private slotsOf(now: number, endpoint: SimulatedEndpoint): number {
     const state = this.health.state(now, endpoint.name)
-    this.watch(now, endpoint, state)
+    this.recordState(now, endpoint, state)
     if (state === HealthState.Ejected) return 0
     return state === HealthState.Probation ? 1 : this.scenario.slotsEach
   }
 
-  private watch(now: number, endpoint: SimulatedEndpoint, state: HealthState): void {
-    if (!endpoint.isBad && endpoint.lastState !== HealthState.Healthy) {
-      this.outcome.goodTimeLost += now - endpoint.lastStateAt
+  private recordState(now: number, endpoint: SimulatedEndpoint, state: HealthState): void {
+    if (!endpoint.isFaulty && endpoint.lastState !== HealthState.Healthy) {
+      this.outcome.healthyTimeLost += now - endpoint.lastStateAt
     }
     const isNew = state !== endpoint.lastState && state !== HealthState.Healthy
-    const from = endpoint.lastState
+    const previous = endpoint.lastState
     endpoint.lastState = state
     endpoint.lastStateAt = now
-    if (!isNew || from !== HealthState.Healthy) return
-    if (!endpoint.isBad || now < this.badFrom) {
+    if (!isNew || previous !== HealthState.Healthy) return
+    if (!endpoint.isFaulty || now < this.faultAt) {
       this.outcome.falseEjections += 1
     } else if (!endpoint.wasEjected) {
       endpoint.wasEjected = true
-      this.outcome.ejectedAfterMs.push(now - this.badFrom)
+      this.outcome.ejectedAfterMs.push(now - this.faultAt)
       this.outcome.failuresBeforeEjection.push(endpoint.failures)
     }
   }
 
   private drawFailure(
     now: number,
-    at: SimulatedEndpoint,
+    endpoint: SimulatedEndpoint,
     job: JobState,
   ): HealthFailure | undefined {
     const { badShare, refuses, noise } = this.scenario
-    const isBadNow = at.isBad && now >= this.badFrom
-    if (isBadNow && this.random() < badShare(now - this.badFrom)) {
+    const isFaultyNow = endpoint.isFaulty && now >= this.faultAt
+    if (isFaultyNow && this.random() < badShare(now - this.faultAt)) {
       return refuses ? HealthFailure.Refused : HealthFailure.TaskFailed
     }
-    const failsAnyway = job.isPoisonous || this.random() < noise
-    return failsAnyway ? HealthFailure.TaskFailed : undefined
+    const failsRegardless = job.alwaysFails || this.random() < noise
+    return failsRegardless ? HealthFailure.TaskFailed : undefined
   }
 
-  private failureMs(at: SimulatedEndpoint, failure: HealthFailure, runMs: number): number {
-    if (failure === HealthFailure.Refused) return REFUSE_MS
-    return at.isBad ? this.scenario.failMs : runMs
+  private failureMs(endpoint: SimulatedEndpoint, failure: HealthFailure, runMs: number): number {
+    if (failure === HealthFailure.Refused) return REFUSAL_MS
+    return endpoint.isFaulty ? this.scenario.failMs : runMs
   }
 
-  private end(now: number, { task, at, failure }: Running): void {
-    at.busy -= 1
-    const seen = { endpoint: at.name, service: 's', jobId: task.job.jobId }
+  private endTask(now: number, { task, endpoint, failure }: RunningTask): void {
+    endpoint.busy -= 1
+    const observation = { endpoint: endpoint.name, service: 's', jobId: task.job.jobId }
     if (failure === undefined) {
-      this.health.recordSuccess(now, seen, task.runMs)
+      this.health.recordSuccess(now, observation, task.runMs)
       return
     }
-    this.health.recordFailure(now, seen, failure)
-    if (at.isBad && now >= this.badFrom) {
-      at.failures += 1
+    this.health.recordFailure(now, observation, failure)
+    if (endpoint.isFaulty && now >= this.faultAt) {
+      endpoint.failures += 1
       this.outcome.badFailures += 1
     }
     if (failure === HealthFailure.Refused) {
       this.waiting.push(task)
       return
     }
-    if (!task.job.failed && !task.job.isPoisonous) this.outcome.failedJobs += 1
+    if (!task.job.failed && !task.job.alwaysFails) this.outcome.failedJobs += 1
     task.job.failed = true
   }
 }
--- a/packages/policy/src/lib/bench/simulateOrder.ts
+++ b/packages/policy/src/lib/bench/simulateOrder.ts
@@ -2,36 +2,36 @@
 import { IndexedHeap } from '../util/IndexedHeap'
 import { seededRandom } from '@cherryhitch/model'
 import { drawCaller, drawJob, drawSize, idealMs, MEAN_RUN_MS, MEAN_TASKS } from './workload'
-import type { CallerMix, SimulatedJob, SimulatedTask } from './workload'
+import type { CallerDistribution, SimulatedJob, SimulatedTask } from './workload'
 
-/** Little more than the longest tasks take in most jobs. */
+/** Slightly more than the run time of the longest task in most jobs. */
 const TIGHT_DEADLINE_MS = 3000
 
-/** A queue in front of some slots, and the jobs that come to it. @internal */
-export interface OrderScenario extends CallerMix {
+/** The slots that a queue feeds, and the jobs that arrive. @internal */
+export interface OrderScenario extends CallerDistribution {
   readonly slots: number
-  /** Work that arrives over what the slots can do. */
+  /** Ratio of arriving work to capacity. */
   readonly load: number
   readonly jobs: number
   readonly seed: number
   readonly deadlineMs: number
-  /** Jobs of one task that the first caller sends all at once, in the middle of the run. */
-  readonly flood: number
+  /** Number of single-task jobs that the first caller sends at once in the middle of the run. */
+  readonly floodJobs: number
   /** Share of the jobs whose deadline is tight. */
   readonly tightShare: number
 }
 
-/** How long one job took. @internal */
+/** Result for one job. @internal */
 export interface JobOutcome {
   readonly caller: string
   readonly tasks: number
   readonly responseMs: number
-  /** With all slots to itself. */
+  /** Shortest possible duration, with all slots to itself. */
   readonly idealMs: number
   readonly onTime: boolean
 }
 
-/** Runs one queue against one scenario; the same seed gives every queue the same jobs. @internal */
+/** Simulates one queue in one scenario. The same seed gives every queue the same jobs. @internal */
 export function simulateOrder(
   queue: TaskQueue<SimulatedTask>,
   scenario: OrderScenario,
@@ -87,7 +87,7 @@
     runUntil(at)
     submit(at, String(number), drawCaller(scenario, random), drawSize(random))
     if (number !== scenario.jobs >> 1) continue
-    for (let extra = 0; extra < scenario.flood; extra++) submit(at, `flood${extra}`, 'c0', 1)
+    for (let extra = 0; extra < scenario.floodJobs; extra++) submit(at, `flood${extra}`, 'c0', 1)
   }
   runUntil(Infinity)
   return outcomes
--- a/packages/policy/src/lib/bench/simulatePlacement.ts
+++ b/packages/policy/src/lib/bench/simulatePlacement.ts
@@ -6,7 +6,7 @@
 import { drawJob, drawSize, idealMs, MEAN_RUN_MS, MEAN_TASKS } from './workload'
 import type { SimulatedJob, SimulatedTask } from './workload'
 
-/** Endpoints in racks, some of which are stragglers. @internal */
+/** The simulated endpoints, in racks and with some stragglers, and the load. @internal */
 export interface PlacementScenario {
   readonly endpoints: number
   readonly slotsEach: number
@@ -15,15 +15,15 @@
   readonly jobs: number
   readonly seed: number
   readonly stragglers: number
-  /** Run times at a straggler over those elsewhere. */
+  /** Ratio of run times at stragglers to those at other endpoints. */
   readonly slowFactor: number
-  /** Whether the picker is told when the next slot elsewhere is expected. */
+  /** Whether the picker gets a forecast of the next free slot at other endpoints. */
   readonly tellsOutlook: boolean
 }
 
 /** @internal */
 export interface PlacementOutcome {
-  /** Response over ideal, for each job. */
+  /** Ratio of response time to ideal duration, for each job. */
   readonly stretches: number[]
   tasksAtStragglers: number
   tasks: number
@@ -34,26 +34,26 @@
   readonly rack: string
   readonly isStraggler: boolean
   busy: number
-  readonly ofJob: Map<string, number>
+  readonly runningByJob: Map<string, number>
 }
 
-interface Running {
+interface RunningTask {
   heapKey: number
   heapIndex: number
   readonly task: SimulatedTask
-  readonly at: SimulatedEndpoint
+  readonly endpoint: SimulatedEndpoint
   readonly runMs: number
 }
 
-/** Held tasks are tried again this often when nothing else happens. */
+/** Interval at which waiting tasks are retried while no other event occurs, in milliseconds. */
 const RETRY_MS = 10
 
-/** One run; see `placementBench.ts`. @internal */
+/** Simulates one run; see `placementBench.ts`. @internal */
 export class PlacementSimulation {
   private readonly outcome: PlacementOutcome = { stretches: [], tasksAtStragglers: 0, tasks: 0 }
   private readonly queue = new DeadlineFairQueue<SimulatedTask>()
   private readonly slowness = new SlownessTracker()
-  private readonly running = new IndexedHeap<Running>()
+  private readonly running = new IndexedHeap<RunningTask>()
   private readonly jobs = new Map<string, { job: SimulatedJob; left: number }>()
   private readonly endpoints: SimulatedEndpoint[]
 
@@ -66,7 +66,7 @@
       rack: `r${Math.floor(index / scenario.endpointsPerRack)}`,
       isStraggler: index < scenario.stragglers,
       busy: 0,
-      ofJob: new Map<string, number>(),
+      runningByJob: new Map<string, number>(),
     }))
   }
 
@@ -79,11 +79,17 @@
       at -= Math.log(1 - random()) * gapMs
       this.runUntil(at)
       const jobId = `j${number}`
-      const frame = { jobId, caller: 'c', arrivesAt: at, deadlineMs: 1e9, size: drawSize(random) }
-      const job = drawJob(frame, random)
+      const parameters = {
+        jobId,
+        caller: 'c',
+        arrivesAt: at,
+        deadlineMs: 1e9,
+        size: drawSize(random),
+      }
+      const job = drawJob(parameters, random)
       this.jobs.set(jobId, { job, left: job.tasks.length })
       for (const task of job.tasks) this.queue.push(at, task)
-      this.start(at)
+      this.startTasks(at)
     }
     this.runUntil(Infinity)
     return this.outcome
@@ -102,43 +108,43 @@
       } else {
         now = next.heapKey
         this.running.pop()
-        this.end(now, next)
+        this.endTask(now, next)
       }
-      this.start(now)
+      this.startTasks(now)
     }
   }
 
-  private start(now: number): void {
+  private startTasks(now: number): void {
     for (;;) {
       let choice: PlacementCandidate | undefined
       const task = this.queue.pop(now, (one) => {
         choice = this.picker.pick(now, one, this.candidates(now, one), this.outlook())
         return choice !== undefined
       })
-      const at = this.endpoints.find(({ name }) => name === choice?.endpoint)
-      if (task === undefined || at === undefined) return
-      const runMs = task.runMs * (at.isStraggler ? this.scenario.slowFactor : 1)
-      at.busy += 1
-      at.ofJob.set(task.jobId, (at.ofJob.get(task.jobId) ?? 0) + 1)
+      const endpoint = this.endpoints.find(({ name }) => name === choice?.endpoint)
+      if (task === undefined || endpoint === undefined) return
+      const runMs = task.runMs * (endpoint.isStraggler ? this.scenario.slowFactor : 1)
+      endpoint.busy += 1
+      endpoint.runningByJob.set(task.jobId, (endpoint.runningByJob.get(task.jobId) ?? 0) + 1)
       this.outcome.tasks += 1
-      if (at.isStraggler) this.outcome.tasksAtStragglers += 1
-      this.running.push({ heapKey: now + runMs, heapIndex: -1, task, at, runMs })
+      if (endpoint.isStraggler) this.outcome.tasksAtStragglers += 1
+      this.running.push({ heapKey: now + runMs, heapIndex: -1, task, endpoint, runMs })
     }
   }
 
   private candidates(now: number, { jobId }: SimulatedTask): PlacementCandidate[] {
     const inRack = new Map<string, number>()
-    for (const { rack, ofJob } of this.endpoints) {
-      inRack.set(rack, (inRack.get(rack) ?? 0) + (ofJob.get(jobId) ?? 0))
+    for (const { rack, runningByJob } of this.endpoints) {
+      inRack.set(rack, (inRack.get(rack) ?? 0) + (runningByJob.get(jobId) ?? 0))
     }
     const free = this.endpoints.filter(({ busy }) => busy < this.scenario.slotsEach)
-    return free.map(({ name, rack, busy, ofJob }) => ({
+    return free.map(({ name, rack, busy, runningByJob }) => ({
       endpoint: name,
       rack,
       slots: this.scenario.slotsEach,
       busySlots: busy,
       slowness: this.slowness.slowness(now, name),
-      sameJobHere: ofJob.get(jobId) ?? 0,
+      sameJobHere: runningByJob.get(jobId) ?? 0,
       sameJobInRack: inRack.get(rack) ?? 0,
     }))
   }
@@ -149,12 +155,12 @@
     return { nextSlotMs: MEAN_RUN_MS / ((endpoints - stragglers) * slotsEach) }
   }
 
-  private end(now: number, { task, at, runMs }: Running): void {
-    at.busy -= 1
-    at.ofJob.set(task.jobId, (at.ofJob.get(task.jobId) ?? 1) - 1)
-    if (at.ofJob.get(task.jobId) === 0) at.ofJob.delete(task.jobId)
+  private endTask(now: number, { task, endpoint, runMs }: RunningTask): void {
+    endpoint.busy -= 1
+    endpoint.runningByJob.set(task.jobId, (endpoint.runningByJob.get(task.jobId) ?? 1) - 1)
+    if (endpoint.runningByJob.get(task.jobId) === 0) endpoint.runningByJob.delete(task.jobId)
     const { estimateMs, service } = task
-    this.slowness.observe(now, { endpoint: at.name, service, estimateMs, runMs })
+    this.slowness.observe(now, { endpoint: endpoint.name, service, estimateMs, runMs })
     const state = this.jobs.get(task.jobId)
     if (state === undefined) return
     state.left -= 1
--- a/packages/policy/src/lib/bench/workload.ts
+++ b/packages/policy/src/lib/bench/workload.ts
@@ -1,4 +1,4 @@
-/** Jobs after the users' pages, drawn from a seed, for measurements. */
+/** Random jobs for benchmarks, with the sizes and run times that the users of the system expect. */
 import type { QueuedTask } from '../order/TaskQueue'
 import { drawNormal } from './drawNormal'
 
@@ -15,7 +15,7 @@
   readonly tasks: readonly SimulatedTask[]
 }
 
-/** Median and spread give the users' 50 ms to 1 s with a few of several seconds. */
+/** Log-normal run times: mostly 50 ms to 1 s, with a few of several seconds. */
 const MEDIAN_RUN_MS = 200
 const RUN_SIGMA = 0.8
 const MIN_RUN_MS = 50
@@ -24,7 +24,7 @@
 export const MEAN_RUN_MS = 275
 export const MEAN_TASKS = 17.8
 
-/** Half single enquiries, the rest from 2 to 120 tasks. @internal */
+/** Draws the number of tasks of a job: 1 for half of the jobs, 2 to 120 for the others. @internal */
 export function drawSize(random: () => number): number {
   const kind = random()
   if (kind < 0.5) return 1
@@ -32,21 +32,21 @@
   return 20 + Math.floor(random() * 101)
 }
 
-/** How jobs spread over callers. @internal */
-export interface CallerMix {
-  /** Share of all jobs that the first caller sends; the others share the rest evenly. */
+/** Distribution of jobs over callers. @internal */
+export interface CallerDistribution {
+  /** Share of the jobs that the first caller sends; the other callers send equal shares. */
   readonly heavyShare: number
   readonly callers: number
 }
 
 /** @internal */
-export function drawCaller(mix: CallerMix, random: () => number): string {
-  const { heavyShare, callers } = mix
+export function drawCaller(distribution: CallerDistribution, random: () => number): string {
+  const { heavyShare, callers } = distribution
   return random() < heavyShare ? 'c0' : `c${1 + Math.floor(random() * (callers - 1))}`
 }
 
-/** What is settled about a job before its run times are drawn. @internal */
-export interface JobFrame {
+/** Properties of a job that are given when its run times are drawn. @internal */
+export interface JobParameters {
   readonly jobId: string
   readonly caller: string
   readonly arrivesAt: number
@@ -55,9 +55,9 @@
 }
 
 /** @internal */
-export function drawJob(frame: JobFrame, random: () => number): SimulatedJob {
-  const { jobId, caller, arrivesAt, size } = frame
-  const deadlineAt = arrivesAt + frame.deadlineMs
+export function drawJob(parameters: JobParameters, random: () => number): SimulatedJob {
+  const { jobId, caller, arrivesAt, size } = parameters
+  const deadlineAt = arrivesAt + parameters.deadlineMs
   const tasks = Array.from({ length: size }, (_, index) => {
     const drawn = MEDIAN_RUN_MS * Math.exp(RUN_SIGMA * drawNormal(random))
     return {
@@ -77,7 +77,7 @@
   return { caller, arrivesAt, deadlineAt, tasks }
 }
 
-/** How long a job takes with all slots to itself. @internal */
+/** Shortest possible duration of a job, when it has all slots to itself. @internal */
 export function idealMs({ tasks }: SimulatedJob, slots: number): number {
   const sumMs = tasks.reduce((sum, task) => sum + task.runMs, 0)
   return Math.max(sumMs / slots, ...tasks.map((task) => task.runMs))
