--- a/apps/cherryhitch/src/lib/dispatching/CallerRequests.test.ts
+++ b/apps/cherryhitch/src/lib/dispatching/CallerRequests.test.ts
@@ -7,37 +7,37 @@
 import { Effect } from 'effect'
 import { CallerRequests } from './CallerRequests'
 
-const place = { host: 'h', path: '/p/j', receivedAt: 0, deadlineAt: 1_500 }
+const context = { host: 'h', path: '/p/j', receivedAt: 0, deadlineAt: 1_500 }
 const spec = makeSteppedJob('j', '', [])
 
-/** The requests of one process of an entry, and what it told its relay. */
+/** The open requests of one process of an entry, and the events sent to its relay. */
 class EntryProcess {
-  readonly told: RelayEvent[] = []
+  readonly events: RelayEvent[] = []
   readonly requests: CallerRequests
 
   constructor(boot: number) {
-    const { told } = this
+    const { events } = this
     const log = { debug: ignore, info: ignore, warn: ignore, error: ignore }
     this.requests = new CallerRequests({
       boot,
-      tell: (event) => told.push(event),
+      tell: (event) => events.push(event),
       now: () => 0,
       log,
       measure: ignore,
     })
   }
 
-  /** Takes a request in; the id that its answer has to name, and its answer. */
+  /** Submits a request; returns the id that its answer has to carry, and the answer. */
   submit(): { requestId: string; answer: Promise<JobOutcome> } {
-    const answer = Effect.runPromise(this.requests.submit(place, spec))
-    const event = this.told.at(-1)
+    const answer = Effect.runPromise(this.requests.submit(context, spec))
+    const event = this.events.at(-1)
     assert.equal(event?.kind, RelayEventKind.Submit)
     return { requestId: event.requestId, answer }
   }
 }
 
-describe('the requests of an entry', () => {
-  it('are not ended by the answer to one of an earlier process of the entry', async () => {
+describe('CallerRequests', () => {
+  it('ignores an answer to a request of an earlier process of the entry', async () => {
     const earlier = new EntryProcess(1).submit()
     const later = new EntryProcess(2)
     const { requestId, answer } = later.submit()
@@ -51,5 +51,5 @@
 })
 
 function ignore(): void {
-  // What is logged and measured doesn't matter here.
+  // Log lines and measurements are not checked here.
 }
--- a/apps/cherryhitch/src/lib/dispatching/CallerRequests.ts
+++ b/apps/cherryhitch/src/lib/dispatching/CallerRequests.ts
@@ -8,13 +8,16 @@
 import { Effect } from 'effect'
 
 interface OpenRequest {
-  readonly place: ClientPlace
+  readonly context: ClientPlace
   readonly done: (outcome: JobOutcome) => void
 }
 
 /** @internal */
 export interface CallerRequestsOptions {
-  /** Boot of this process: answers to requests of an earlier one must not end those of this one. */
+  /**
+   * Boot of this process. As part of each request id, it keeps answers to requests of an earlier
+   * process from ending requests of this one.
+   */
   readonly boot: number
   readonly tell: (event: RelayEvent) => void
   readonly now: () => number
@@ -22,10 +25,10 @@
   readonly measure: (stage: string, route: string, ms: number) => void
 }
 
-/** The requests of callers that wait for their answers at this instance. @internal */
+/** The requests of callers that are waiting for an answer at this instance. @internal */
 export class CallerRequests extends ClientService {
   private readonly open = new Map<string, OpenRequest>()
-  private counted = 0
+  private requestCount = 0
 
   constructor(private readonly options: CallerRequestsOptions) {
     super()
@@ -35,63 +38,63 @@
     return this.open.size
   }
 
-  override submit(place: ClientPlace, spec: SteppedJob): Effect.Effect<JobOutcome> {
-    return this.relay(place, (requestId) => {
-      return { kind: RelayEventKind.Submit, requestId, spec, ...place }
+  override submit(context: ClientPlace, spec: SteppedJob): Effect.Effect<JobOutcome> {
+    return this.relay(context, (requestId) => {
+      return { kind: RelayEventKind.Submit, requestId, spec, ...context }
     })
   }
 
-  override ask(place: ClientPlace, question: JobQuestionKind): Effect.Effect<JobOutcome> {
-    return this.relay(place, (requestId) => {
-      return { kind: RelayEventKind.Ask, requestId, question, ...place }
+  override ask(context: ClientPlace, question: JobQuestionKind): Effect.Effect<JobOutcome> {
+    return this.relay(context, (requestId) => {
+      return { kind: RelayEventKind.Ask, requestId, question, ...context }
     })
   }
 
-  override noteRefusal(place: ClientPlace, reason: string): void {
-    const { host, path } = place
+  override noteRefusal(context: ClientPlace, reason: string): void {
+    const { host, path } = context
     this.options.log.info('a request was refused unread', { host, path, reason })
   }
 
   /**
-   * An answer has come.
+   * Delivers an outcome to the caller that waits for it.
    *
-   * @param attempts - leaders that may have taken the request
+   * @param attempts - number of leaders that may have accepted the request
    */
   answer(outcome: JobOutcome, attempts: number): void {
     const request = this.open.get(outcome.requestId)
     if (request === undefined) return
     this.open.delete(outcome.requestId)
-    this.report(request.place, outcome, attempts)
+    this.recordAnswer(request.context, outcome, attempts)
     request.done(outcome)
   }
 
-  /** Ends when the caller is answered; interrupting it means that the caller is gone. */
+  /** Completes when the outcome arrives; an interruption means that the caller has disconnected. */
   private relay(
-    place: ClientPlace,
+    context: ClientPlace,
     toEvent: (requestId: string) => RelayEvent,
   ): Effect.Effect<JobOutcome> {
     return Effect.callback((resume) => {
-      const requestId = `${this.options.boot}.${++this.counted}`
+      const requestId = `${this.options.boot}.${++this.requestCount}`
       const done = (outcome: JobOutcome): void => {
         resume(Effect.succeed(outcome))
       }
-      this.open.set(requestId, { place, done })
+      this.open.set(requestId, { context, done })
       this.options.tell(toEvent(requestId))
       return Effect.sync(() => {
-        this.leave(requestId, place)
+        this.abandon(requestId, context)
       })
     })
   }
 
-  private leave(requestId: string, { host, path, receivedAt }: ClientPlace): void {
+  private abandon(requestId: string, { host, path, receivedAt }: ClientPlace): void {
     if (!this.open.delete(requestId)) return
     const ms = Math.round(this.options.now() - receivedAt)
     this.options.log.info('a caller left before its answer', { host, path, ms })
     this.options.tell({ kind: RelayEventKind.Abandon, requestId })
   }
 
-  private report(place: ClientPlace, outcome: JobOutcome, attempts: number): void {
-    const { host, path, receivedAt, deadlineAt } = place
+  private recordAnswer(context: ClientPlace, outcome: JobOutcome, attempts: number): void {
+    const { host, path, receivedAt, deadlineAt } = context
     const { requestId, verdict, reason, term, retryAfterMs } = outcome
     const now = this.options.now()
     const ms = Math.round(now - receivedAt)
--- a/apps/cherryhitch/src/lib/dispatching/OperatorCalls.ts
+++ b/apps/cherryhitch/src/lib/dispatching/ControlRequestHandler.ts
@@ -7,46 +7,46 @@
 import type { PartLog } from '@cherryhitch/telemetry'
 import { Effect } from 'effect'
 import type { NoticeExchange } from './NoticeExchange'
-import { packDocument, unpackDocument } from './RoutingDocument'
+import { compressDocument, decompressDocument } from './RoutingDocument'
 
-/** An endpoint whose heartbeats can't be read is named this often, in milliseconds. */
-const INVALID_NOTICE_LOG_MS = 1_000
-/** Endpoints whose last line is remembered at most. */
-const MAX_INVALID_WRITERS = 1_000
+/** Minimum interval between log lines about invalid heartbeats of one endpoint. */
+const INVALID_NOTICE_LOG_INTERVAL_MS = 1_000
+/** Maximum number of endpoints whose last log line is remembered. */
+const MAX_INVALID_SENDERS = 1_000
 
 /** @internal */
-export interface OperatorCallsOptions {
+export interface ControlRequestHandlerOptions {
   readonly instance: string
   readonly boot: number
   readonly control: ControlNode
   readonly notices: NoticeExchange
   readonly leader: () => string
-  /** The port that endpoints call, the same at all instances. */
+  /** Port for endpoints and operators, the same on all instances. */
   readonly controlPort: number
   readonly now: () => number
   readonly log: PartLog
 }
 
-/** What operators and endpoints ask of a dispatching instance. @internal */
-export class OperatorCalls extends ControlService {
-  private commands = 0
-  /** When each endpoint's unreadable heartbeat was last logged. */
+/** Handles the requests of operators and endpoints to a dispatching instance. @internal */
+export class ControlRequestHandler extends ControlService {
+  private commandCount = 0
+  /** When an invalid heartbeat of each endpoint was last logged. */
   private readonly invalidLoggedAt = new Map<string, number>()
 
-  constructor(private readonly options: OperatorCallsOptions) {
+  constructor(private readonly options: ControlRequestHandlerOptions) {
     super()
   }
 
   override putRouting({ version }: RoutingTable, document: string): Effect.Effect<boolean> {
     const { instance, boot, control, now, log } = this.options
-    const commandId = `routing.${instance}.${boot}.${++this.commands}`
-    const value = { version, document: packDocument(document), atMs: now() }
+    const commandId = `routing.${instance}.${boot}.${++this.commandCount}`
+    const value = { version, document: compressDocument(document), atMs: now() }
     const command = create(CommandSchema, { commandId, change: { case: 'putRouting', value } })
     const sentAt = now()
     return Effect.map(control.propose(command), ({ result, detail }) => {
       const ms = Math.round(now() - sentAt)
       const outcome = CommandResult[result]
-      log.info('a routing was put', { version, outcome, detail, ms, commandId })
+      log.info('routing update finished', { version, outcome, detail, ms, commandId })
       return result === CommandResult.APPLIED
     })
   }
@@ -54,12 +54,12 @@
   override readRouting(): Effect.Effect<string | undefined> {
     return Effect.map(this.options.control.readRouting(), (state) => {
       if (state === undefined || state.version === 0) return undefined
-      return unpackDocument(state.document)
+      return decompressDocument(state.document)
     })
   }
 
   override takeNotice(notice: EndpointNotice): Effect.Effect<boolean> {
-    return this.options.notices.take(notice)
+    return this.options.notices.acceptNotice(notice)
   }
 
   override noticeAddress(): string | undefined {
@@ -68,15 +68,15 @@
   }
 
   override noteInvalidRouting(reason: string): void {
-    this.options.log.warn('an invalid routing was refused', { reason })
+    this.options.log.warn('rejected an invalid routing configuration', { reason })
   }
 
   override noteInvalidNotice(endpoint: string, reason: string): void {
     const now = this.options.now()
     const loggedAt = this.invalidLoggedAt.get(endpoint) ?? -Infinity
-    if (now - loggedAt < INVALID_NOTICE_LOG_MS) return
-    if (this.invalidLoggedAt.size >= MAX_INVALID_WRITERS) this.invalidLoggedAt.clear()
+    if (now - loggedAt < INVALID_NOTICE_LOG_INTERVAL_MS) return
+    if (this.invalidLoggedAt.size >= MAX_INVALID_SENDERS) this.invalidLoggedAt.clear()
     this.invalidLoggedAt.set(endpoint, now)
-    this.options.log.warn('a heartbeat that cannot be read was refused', { endpoint, reason })
+    this.options.log.warn('rejected an invalid heartbeat', { endpoint, reason })
   }
 }
--- a/apps/cherryhitch/src/lib/dispatching/DirectoryKeeper.test.ts
+++ b/apps/cherryhitch/src/lib/dispatching/DirectoryStore.test.ts
@@ -5,12 +5,12 @@
 import { MemoryDisk } from '@cherryhitch/storage'
 import type { PartLog } from '@cherryhitch/telemetry'
 import { Effect } from 'effect'
-import { DirectoryKeeper } from './DirectoryKeeper'
-import type { Directory } from './directoryOf'
+import { DirectoryStore } from './DirectoryStore'
+import type { EndpointDirectory } from './endpointDirectoryOf'
 
 const ignore = (): void => undefined
 const log: PartLog = { info: ignore, warn: ignore, error: ignore, debug: ignore }
-const LOSSES: Directory = {
+const LOSSES: EndpointDirectory = {
   notices: [],
   lost: [
     create(LostEndpointSchema, { endpoint: 'e1', tasks: ['j.0.0.0'], crashed: true, term: 2 }),
@@ -18,26 +18,31 @@
   possible: [create(PossibleLossSchema, { term: 3, endpoints: ['e2'], tasks: ['k.0.0.0'] })],
 }
 
-function open(disk: MemoryDisk, changes: number): DirectoryKeeper {
-  return new DirectoryKeeper({ disk, log, known: () => LOSSES, lossChanges: () => changes })
+function open(disk: MemoryDisk, changes: number): DirectoryStore {
+  return new DirectoryStore({
+    disk,
+    log,
+    currentDirectory: () => LOSSES,
+    lossChanges: () => changes,
+  })
 }
 
-/** Writes to the memory end in turns of the event loop. */
+/** Lets pending writes complete: those of a memory disk take a few turns of the event loop. */
 async function settle(): Promise<void> {
   for (let turn = 0; turn < 20; turn++) await new Promise((resolve) => setImmediate(resolve))
 }
 
-describe('the stored directory', () => {
-  it('has the losses that a leader has told of, for the next process', async () => {
+describe('DirectoryStore', () => {
+  it('returns the losses broadcast by a leader to the next process', async () => {
     const disk = new MemoryDisk()
-    open(disk, 1).noteNews(0)
+    open(disk, 1).onLossUpdate(0)
     await settle()
     const { lost, possible } = await Effect.runPromise(open(disk, 0).read())
     assert.deepEqual(lost, LOSSES.lost)
     assert.deepEqual(possible, LOSSES.possible)
   })
 
-  it('is empty when nothing was stored', async () => {
+  it('returns an empty directory when nothing was stored', async () => {
     const { notices, lost, possible } = await Effect.runPromise(open(new MemoryDisk(), 0).read())
     assert.deepEqual([notices, lost, possible], [[], [], []])
   })
--- a/apps/cherryhitch/src/lib/dispatching/DispatchParts.ts
+++ b/apps/cherryhitch/src/lib/dispatching/DispatchParts.ts
@@ -3,20 +3,24 @@
 import type { DispatchEvent, Dispatcher, OrderProxy } from '@cherryhitch/dispatch'
 import type { Envelope } from '@cherryhitch/protocol'
 import { LateBound } from '../instance/LateBound'
-import type { DirectoryKeeper } from './DirectoryKeeper'
+import type { DirectoryStore } from './DirectoryStore'
 import type { NoticeExchange } from './NoticeExchange'
 import type { DiscoveryPart } from './startDiscovery'
 
-/** The parts of a dispatching instance that take messages, bound once each has started. @internal */
+/**
+ * The parts of a dispatching instance that receive messages; each is bound once it has started.
+ *
+ * @internal
+ */
 export class DispatchParts {
   readonly dispatcher = new LateBound<Dispatcher>()
   readonly proxy = new LateBound<OrderProxy>()
   readonly control = new LateBound<ControlNode>()
   readonly discovery = new LateBound<DiscoveryPart>()
   readonly notices = new LateBound<NoticeExchange>()
-  readonly keeper = new LateBound<DirectoryKeeper>()
+  readonly directoryStore = new LateBound<DirectoryStore>()
 
-  /** Hands a message to the part that it concerns. */
+  /** Routes a message to the part that handles it. */
   receive(from: string, boot: number, { body }: Envelope): void {
     switch (body.case) {
       case 'submitJob':
@@ -54,20 +58,20 @@
     }
   }
 
-  /** An answer to a job went to an instance, which tells it that the leader is there. */
-  noteAnswered(to: string): void {
+  /** A job outcome was sent to an instance, which learns from it that the leader is alive. */
+  onOutcomeSent(to: string): void {
     this.discovery.use((part) => {
       part.tell({ kind: DiscoveryEventKind.Answered, to })
     })
   }
 
-  /** A new leader learns which endpoints earlier ones knew. */
+  /** Makes a new leader ask the voters which endpoints earlier leaders knew. */
   readDirectories(term: number): void {
     this.control.use((control) => {
       const members = control.status()?.members ?? []
       const voters = members.flatMap(({ instance, learner }) => (learner ? [] : instance))
       this.notices.use((notices) => {
-        notices.readAll(term, voters)
+        notices.readFromVoters(term, voters)
       })
     })
   }
@@ -109,13 +113,13 @@
           notices.onNotices(from, body.value)
           return
         case 'endpointNoticesTaken':
-          notices.onTaken(body.value.requestId, body.value.byLeader)
+          notices.onConfirmation(body.value.requestId, body.value.byLeader)
           return
         case 'readEndpointNotices':
-          notices.onRead(from, body.value)
+          notices.onReadRequest(from, body.value)
           return
         case 'endpointNoticesRead':
-          notices.onReadAnswered(from, body.value)
+          notices.onReadReply(from, body.value)
       }
     })
   }
--- a/apps/cherryhitch/src/lib/dispatching/DispatchTelemetry.ts
+++ b/apps/cherryhitch/src/lib/dispatching/DispatchTelemetry.ts
@@ -4,12 +4,12 @@
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 
-/** Upper bounds of the buckets for latencies: a hop of 1 ms up to the longest deadline. */
+/** Upper bounds of the latency buckets, from one hop of 1 ms to the longest deadline. */
 const LATENCY_BUCKETS_MS = [1, 2, 5, 10, 20, 35, 50, 75, 100, 150, 250, 400, 700, 1_500, 3_000]
 
 /**
- * One line for each ended request of a busy instance (some 200 a second) gets through, and as many
- * again for what goes wrong.
+ * High enough for one line per finished request of a busy instance (some 200 a second), and for as
+ * many lines again about errors.
  */
 const LOG_LIMITS = { maxRepeats: 250, maxLines: 600 }
 
@@ -33,8 +33,8 @@
     this.latencies.observe(ms, { stage, route })
   }
 
-  /** A log of lines without fields, for parts that write such. */
-  lines(part: string): (line: string) => void {
+  /** A log function for parts that write lines without fields. */
+  lineLogger(part: string): (line: string) => void {
     const log = this.logger.forPart(part)
     return (line) => {
       log.info(line)
--- a/apps/cherryhitch/src/lib/dispatching/NoticeExchange.test.ts
+++ b/apps/cherryhitch/src/lib/dispatching/NoticeExchange.test.ts
@@ -19,7 +19,7 @@
   })
 }
 
-/** A leader that knows one endpoint for sure. */
+/** A leader that has accepted two heartbeats of one endpoint. */
 function open() {
   const machine = new DispatchMachine({})
   const sent: Envelope[] = []
@@ -40,40 +40,40 @@
     followedBefore: () => 0,
   })
   tell({ kind: DispatchEventKind.Lead, term: 1, table: undefined })
-  const take = (one: EndpointNotice): boolean => Effect.runSync(exchange.take(one))
-  assert.ok(take(notice(1, NoticeState.SERVING)))
-  assert.ok(take(notice(2, NoticeState.SERVING)))
-  return { exchange, take, sent }
+  const accept = (one: EndpointNotice): boolean => Effect.runSync(exchange.acceptNotice(one))
+  assert.ok(accept(notice(1, NoticeState.SERVING)))
+  assert.ok(accept(notice(2, NoticeState.SERVING)))
+  return { exchange, accept, sent }
 }
 
-/** Whether the leader said that it has what another instance passed on. */
+/** Whether the leader confirmed the notices that another instance forwarded. */
 function isConfirmed(sent: readonly Envelope[]): boolean | undefined {
   const body = sent.at(-1)?.body
   return body?.case === 'endpointNoticesTaken' ? body.value.byLeader : undefined
 }
 
-describe('the word that an endpoint leaves', () => {
-  it('is acknowledged when the leader has taken it, and when it comes again', () => {
-    const { take } = open()
-    assert.equal(take(notice(3, NoticeState.LEAVING)), true)
-    assert.equal(take(notice(3, NoticeState.LEAVING)), true)
-    assert.equal(take(notice(4, NoticeState.GONE)), true)
+describe('a notice that an endpoint leaves', () => {
+  it('is acknowledged when the leader has applied it, and when it is repeated', () => {
+    const { accept } = open()
+    assert.equal(accept(notice(3, NoticeState.LEAVING)), true)
+    assert.equal(accept(notice(3, NoticeState.LEAVING)), true)
+    assert.equal(accept(notice(4, NoticeState.GONE)), true)
   })
 
-  it('is not acknowledged when the leader does not take it', () => {
-    const { take } = open()
-    assert.equal(take(notice(1, NoticeState.LEAVING)), false)
-    assert.equal(take(notice(3, NoticeState.LEAVING, '10.0.0.8:80')), false)
+  it('is not acknowledged when the leader does not apply it', () => {
+    const { accept } = open()
+    assert.equal(accept(notice(1, NoticeState.LEAVING)), false)
+    assert.equal(accept(notice(3, NoticeState.LEAVING, '10.0.0.8:80')), false)
   })
 
-  it('is confirmed to another instance only when the leader has taken it', () => {
+  it('is confirmed to another instance only when the leader has applied it', () => {
     const { exchange, sent } = open()
-    const pass = (one: EndpointNotice): boolean | undefined => {
+    const forward = (one: EndpointNotice): boolean | undefined => {
       const lost = { notices: [one], requestId: 'r', lost: [], possible: [] }
       exchange.onNotices('b', { $typeName: 'cherryhitch.v1.EndpointNotices', ...lost })
       return isConfirmed(sent)
     }
-    assert.equal(pass(notice(1, NoticeState.LEAVING)), false)
-    assert.equal(pass(notice(3, NoticeState.LEAVING)), true)
+    assert.equal(forward(notice(1, NoticeState.LEAVING)), false)
+    assert.equal(forward(notice(3, NoticeState.LEAVING)), true)
   })
 })
--- a/apps/cherryhitch/src/lib/dispatching/NoticeExchange.ts
+++ b/apps/cherryhitch/src/lib/dispatching/NoticeExchange.ts
@@ -10,16 +10,16 @@
   ReadEndpointNotices,
 } from '@cherryhitch/protocol'
 import { Effect } from 'effect'
-import { directoryOf } from './directoryOf'
-import type { Directory } from './directoryOf'
+import { endpointDirectoryOf } from './endpointDirectoryOf'
+import type { EndpointDirectory } from './endpointDirectoryOf'
 
 /**
- * Heartbeats that say nothing new are passed on together, at most this long after the first of them,
- * in milliseconds. Endpoints are forgotten only after seconds, and each message goes to all hosts of
- * voters.
+ * Heartbeats that change nothing are forwarded in batches, at most this long after the first of a
+ * batch. The delay is harmless, because endpoints are removed only after seconds without a
+ * heartbeat, and batches save messages, because each one goes to all voter hosts.
  */
-const GATHER_MS = 500
-/** Endpoints call another instance after a second without an answer. */
+const BATCH_WINDOW_MS = 500
+/** Below one second, after which an endpoint without an answer tries another instance. */
 const CONFIRM_TIMEOUT_MS = 800
 
 /** @internal */
@@ -33,126 +33,132 @@
   readonly leader: () => string
   readonly now: () => number
   readonly after: (ms: number, run: () => void) => void
-  /** From this time on the directory holds every endpoint that announces itself. */
+  /** Time from which the directory holds every endpoint that sends heartbeats. */
   readonly completeAt: number
-  /** When this process last followed a leader before the term; its start if it never did. */
+  /** When this process last followed a leader of an earlier term, or else its start time. */
   readonly followedBefore: (term: number) => number
 }
 
-/** Who has told a new leader all that it knows. */
-interface DirectoryReading {
+/** Progress of a new leader in reading the endpoint directories of the voters. */
+interface DirectoryReadProgress {
   readonly term: number
+  /** Number of answers that make a majority. */
   readonly needed: number
+  /** Instances that have answered with a complete directory. */
   readonly complete: Set<string>
-  /** Until when each that answered had followed earlier leaders. */
+  /** For each instance that has answered, when it last followed an earlier leader. */
   readonly followed: Map<string, number>
 }
 
 /**
- * Spreads what endpoints say of themselves over the instances that may lead. A goodbye is only
- * acknowledged once the leader has it, since it would go on starting tasks there otherwise.
+ * Replicates endpoint notices to all instances that may become leader. A notice that an endpoint
+ * leaves is acknowledged only once the leader has applied it; otherwise the leader would go on
+ * starting tasks on that endpoint.
  *
  * @internal
  */
 export class NoticeExchange {
-  private readonly waiting = new Map<string, (byLeader: boolean) => void>()
-  private requests = 0
-  private reading: DirectoryReading | undefined
-  /** The newest of each endpoint, of those that say nothing new. */
-  private gathered = new Map<string, EndpointNotice>()
+  private readonly pendingConfirmations = new Map<string, (byLeader: boolean) => void>()
+  private requestCount = 0
+  private readProgress: DirectoryReadProgress | undefined
+  /** The latest notice of each endpoint, among those that change nothing. */
+  private batched = new Map<string, EndpointNotice>()
 
   constructor(private readonly options: NoticeExchangeOptions) {}
 
-  /** Takes a notice from an endpoint; true once it may be acknowledged. */
-  take(notice: EndpointNotice): Effect.Effect<boolean> {
+  /** Applies a notice from an endpoint; true once it may be acknowledged. */
+  acceptNotice(notice: EndpointNotice): Effect.Effect<boolean> {
     const { options } = this
     const { machine } = options
-    const isNews = machine.isNews(notice)
+    const changesDirectory = machine.isNews(notice)
     const isLeaving = notice.state !== NoticeState.SERVING
-    const isHeeded = machine.heeds(notice)
+    const isHonored = machine.heeds(notice)
     options.tell({ kind: DispatchEventKind.Notice, notice })
-    if (isLeaving && machine.leads && !isHeeded) return Effect.succeed(false)
+    if (isLeaving && machine.leads && !isHonored) return Effect.succeed(false)
     if (!isLeaving || machine.leads) {
-      if (isNews) this.spread([notice], '')
-      else this.gather(notice)
+      if (changesDirectory) this.broadcastNotices([notice], '')
+      else this.addToBatch(notice)
       return Effect.succeed(true)
     }
     const leader = options.leader()
     if (leader === '' || leader === options.instance) return Effect.succeed(false)
-    return this.confirmBy(notice)
+    return this.confirmWithLeader(notice)
   }
 
-  /** Another instance passed notices on. */
+  /** Handles notices forwarded by another instance. */
   onNotices(from: string, message: EndpointNotices): void {
     const { machine, send } = this.options
     const { requestId, notices } = message
-    const isHeeded = notices.every((notice) => machine.heeds(notice))
-    this.takeIn(message)
+    const isHonored = notices.every((notice) => machine.heeds(notice))
+    this.applyDirectory(message)
     if (requestId === '') return
-    const value = { requestId, byLeader: machine.leads && isHeeded }
+    const value = { requestId, byLeader: machine.leads && isHonored }
     send(from, envelope({ case: 'endpointNoticesTaken', value }))
   }
 
-  onTaken(requestId: string, byLeader: boolean): void {
-    this.waiting.get(requestId)?.(byLeader)
+  onConfirmation(requestId: string, byLeader: boolean): void {
+    this.pendingConfirmations.get(requestId)?.(byLeader)
   }
 
-  /** This instance leads from now on: a majority of the voters is asked what it knows. */
-  readAll(term: number, voters: readonly string[]): void {
+  /**
+   * Called when this instance becomes leader: requests the endpoint directories of the other
+   * voters. Reading is done once a majority of the voters, which may include this instance, has
+   * contributed a complete directory.
+   */
+  readFromVoters(term: number, voters: readonly string[]): void {
     const { instance } = this.options
     const needed = Math.floor(voters.length / 2) + 1
     const complete = new Set<string>()
     if (this.isComplete()) complete.add(instance)
     const followed = new Map([[instance, this.options.followedBefore(term)]])
-    this.reading = { term, needed, complete, followed }
+    this.readProgress = { term, needed, complete, followed }
     for (const voter of voters) {
       if (voter === instance) continue
       this.options.send(voter, envelope({ case: 'readEndpointNotices', value: { term } }))
     }
-    this.finishReading()
+    this.checkReadProgress()
   }
 
-  onRead(from: string, { term }: ReadEndpointNotices): void {
+  onReadRequest(from: string, { term }: ReadEndpointNotices): void {
     const followedMsAgo = this.options.now() - this.options.followedBefore(term)
-    const value = { term, ...this.known(), complete: this.isComplete(), followedMsAgo }
+    const value = { term, ...this.directory(), complete: this.isComplete(), followedMsAgo }
     this.options.send(from, envelope({ case: 'endpointNoticesRead', value }))
   }
 
-  onReadAnswered(from: string, answer: EndpointNoticesRead): void {
+  onReadReply(from: string, answer: EndpointNoticesRead): void {
     const { term, complete, followedMsAgo } = answer
-    this.takeIn(answer)
-    if (this.reading?.term !== term) return
-    if (complete) this.reading.complete.add(from)
-    this.reading.followed.set(from, this.options.now() - followedMsAgo)
-    this.finishReading()
+    this.applyDirectory(answer)
+    if (this.readProgress?.term !== term) return
+    if (complete) this.readProgress.complete.add(from)
+    this.readProgress.followed.set(from, this.options.now() - followedMsAgo)
+    this.checkReadProgress()
   }
 
-  /** Brings a notice to all who may lead. */
-  pass(notice: EndpointNotice): void {
-    this.spread([notice], '')
+  /** Sends a notice to all instances that may become leader. */
+  broadcastNotice(notice: EndpointNotice): void {
+    this.broadcastNotices([notice], '')
   }
 
-  /** Tells all who may lead of endpoints that were lost. */
-  passLosses({ lost, possible }: LossNews): void {
+  /** Sends losses of endpoints to all instances that may become leader. */
+  broadcastLosses({ lost, possible }: LossNews): void {
     this.sendToPeers(create(EndpointNoticesSchema, { lost: [...lost], possible: [...possible] }))
   }
 
-  /** A new instance gets everything that is known here. */
-  tellAll(instance: string): void {
-    const value = this.known()
+  /** Sends the endpoint directory of this instance to a newly discovered one. */
+  sendDirectoryTo(instance: string): void {
+    const value = this.directory()
     if (value.notices.length === 0) return
     this.options.send(instance, envelope({ case: 'endpointNotices', value }))
   }
 
-  /** What is known here of endpoints and their losses, for another instance. */
-  private known(): Directory {
-    return directoryOf(this.options.machine, this.options.now())
+  private directory(): EndpointDirectory {
+    return endpointDirectoryOf(this.options.machine, this.options.now())
   }
 
-  private takeIn({ notices, lost, possible }: Directory): void {
+  private applyDirectory({ notices, lost, possible }: EndpointDirectory): void {
     const { tell } = this.options
-    const hasNews = lost.length + possible.length > 0
-    if (hasNews) tell({ kind: DispatchEventKind.Loss, news: { lost, possible } })
+    const hasLosses = lost.length + possible.length > 0
+    if (hasLosses) tell({ kind: DispatchEventKind.Loss, news: { lost, possible } })
     for (const notice of notices) tell({ kind: DispatchEventKind.Notice, notice })
   }
 
@@ -160,29 +166,29 @@
     return this.options.now() >= this.options.completeAt
   }
 
-  private finishReading(): void {
-    if (this.reading === undefined) return
-    const { term, needed, complete, followed } = this.reading
+  private checkReadProgress(): void {
+    if (this.readProgress === undefined) return
+    const { term, needed, complete, followed } = this.readProgress
     if (followed.size >= needed) {
       const followedUntil = Math.max(...followed.values())
       this.options.tell({ kind: DispatchEventKind.EarlierLeaders, term, followedUntil })
     }
     if (complete.size < needed) return
-    this.reading = undefined
+    this.readProgress = undefined
     this.options.tell({ kind: DispatchEventKind.DirectoryRead, term })
   }
 
-  private gather(notice: EndpointNotice): void {
-    this.gathered.set(notice.endpoint, notice)
-    if (this.gathered.size > 1) return
-    this.options.after(GATHER_MS, () => {
-      const notices = [...this.gathered.values()]
-      this.gathered = new Map()
-      this.spread(notices, '')
+  private addToBatch(notice: EndpointNotice): void {
+    this.batched.set(notice.endpoint, notice)
+    if (this.batched.size > 1) return
+    this.options.after(BATCH_WINDOW_MS, () => {
+      const notices = [...this.batched.values()]
+      this.batched = new Map()
+      this.broadcastNotices(notices, '')
     })
   }
 
-  private spread(notices: EndpointNotice[], requestId: string): void {
+  private broadcastNotices(notices: EndpointNotice[], requestId: string): void {
     this.sendToPeers(create(EndpointNoticesSchema, { notices, requestId }))
   }
 
@@ -192,17 +198,17 @@
     }
   }
 
-  private confirmBy(notice: EndpointNotice): Effect.Effect<boolean> {
-    const requestId = `${this.options.instance}.${this.options.boot}.${++this.requests}`
+  private confirmWithLeader(notice: EndpointNotice): Effect.Effect<boolean> {
+    const requestId = `${this.options.instance}.${this.options.boot}.${++this.requestCount}`
     const answered = Effect.callback<boolean>((resume) => {
-      this.waiting.set(requestId, (byLeader) => {
+      this.pendingConfirmations.set(requestId, (byLeader) => {
         if (byLeader) resume(Effect.succeed(true))
       })
-      this.spread([notice], requestId)
+      this.broadcastNotices([notice], requestId)
     })
     const limited = Effect.timeoutOption(answered, CONFIRM_TIMEOUT_MS)
     return Effect.map(limited, (option) => {
-      this.waiting.delete(requestId)
+      this.pendingConfirmations.delete(requestId)
       return option._tag === 'Some'
     })
   }
--- a/apps/cherryhitch/src/lib/dispatching/openProcess.ts
+++ b/apps/cherryhitch/src/lib/dispatching/createProcessContext.ts
@@ -9,26 +9,26 @@
 import type { DispatchTelemetry } from './DispatchTelemetry'
 import { onReload } from './onReload'
 
-/** What all parts of a process share. @internal */
+/** State and services shared by all parts of a process. @internal */
 export interface ProcessContext {
   readonly settings: DispatchSettings
-  /** Name of this instance among the others. */
+  /** Name of this instance, unique among all instances. */
   readonly instance: string
-  /** Higher than that of the earlier processes of this instance. */
+  /** Higher than the boot of every earlier process of this instance. */
   readonly boot: number
   /** When the process started, in milliseconds of its clock. */
   readonly startedAt: number
   readonly now: () => number
   readonly telemetry: DispatchTelemetry
   readonly log: PartLog
-  /** A part died: the process ends, and the platform starts it again. */
+  /** A part has failed: stops the process, which the platform then restarts. */
   readonly onDefect: (defect: unknown) => void
-  /** Ends with the reason to stop. */
-  readonly awaitEnd: Effect.Effect<string>
+  /** Completes with the reason when the process has to stop. */
+  readonly awaitStop: Effect.Effect<string>
 }
 
-/** Opens logs and metrics, and takes signals. @internal */
-export function openProcess(
+/** Opens logs and metrics, and installs the signal handlers. @internal */
+export function createProcessContext(
   settings: DispatchSettings,
   part: string,
 ): Effect.Effect<ProcessContext, TelemetryError, Scope.Scope> {
@@ -39,7 +39,7 @@
     const log = telemetry.logger.forPart(part)
     const ended = Deferred.makeUnsafe<string>()
     yield* onReload(() => {
-      log.info('reloaded; nothing that is in use has changed')
+      log.info('SIGHUP received; no setting is reloaded')
     })
     return {
       settings,
@@ -50,11 +50,11 @@
       telemetry,
       log,
       onDefect: (defect) => {
-        log.error('a part died of a defect', { defect: String(defect) })
-        // The first reason counts.
-        Deferred.doneUnsafe(ended, Effect.succeed('a part died of a defect'))
+        log.error('a part failed with an unexpected error', { defect: String(defect) })
+        // Has no effect if a reason was set before.
+        Deferred.doneUnsafe(ended, Effect.succeed('a part failed with an unexpected error'))
       },
-      awaitEnd: Effect.raceFirst(awaitSignal, Deferred.await(ended)),
+      awaitStop: Effect.raceFirst(awaitSignal, Deferred.await(ended)),
     }
   })
 }
--- a/apps/cherryhitch/src/lib/dispatching/runDispatch.ts
+++ b/apps/cherryhitch/src/lib/dispatching/runDispatch.ts
@@ -11,40 +11,40 @@
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 import { DispatchParts } from './DispatchParts'
-import { DirectoryKeeper } from './DirectoryKeeper'
-import { directoryOf } from './directoryOf'
-import { heardProxies } from './heardProxies'
-import { JoinKeeper } from './JoinKeeper'
+import { DirectoryStore } from './DirectoryStore'
+import { endpointDirectoryOf } from './endpointDirectoryOf'
+import { reachableProxies } from './reachableProxies'
+import { LearnerRegistration } from './LearnerRegistration'
 import { NoticeExchange } from './NoticeExchange'
-import { openProcess } from './openProcess'
-import type { ProcessContext } from './openProcess'
-import { OperatorCalls } from './OperatorCalls'
+import { createProcessContext } from './createProcessContext'
+import type { ProcessContext } from './createProcessContext'
+import { ControlRequestHandler } from './ControlRequestHandler'
 import { startDiscovery } from './startDiscovery'
 import type { DiscoveryPart } from './startDiscovery'
 import { startDispatchLinks } from './startDispatchLinks'
 import { startDispatchPart } from './startDispatchPart'
 import type { DispatchPart } from './startDispatchPart'
 import { startMetricsServer } from './startMetricsServer'
-import { startRehearsal } from './startRehearsal'
-import { startUseReport } from './startUseReport'
+import { startWarmUp } from './startWarmUp'
+import { startUsageReport } from './startUsageReport'
 import { startVoter } from './startVoter'
 
 /**
- * Pace at which the parts learn what the log knows, in milliseconds: after the leader has changed,
- * as callers wait for the next one, and otherwise: the pace of the voters' heartbeats.
+ * Intervals between reads of the control log's status. The interval is shorter after a change of
+ * leader, because callers wait for the new one; otherwise it equals the voters' heartbeat interval.
  */
-const NEW_LEADER_STATUS_MS = 20
-const STATUS_MS = 60
-/** A leader is new for so long, in milliseconds; it is told of by all within two heartbeats. */
-const NEW_LEADER_MS = 1_000
-/** Notices of all endpoints are there after two heartbeats and this, in milliseconds. */
+const NEW_LEADER_STATUS_INTERVAL_MS = 20
+const STATUS_INTERVAL_MS = 60
+/** A leader counts as new for this long; within two heartbeats every instance has announced it. */
+const NEW_LEADER_PERIOD_MS = 1_000
+/** Margin on top of two heartbeat intervals, after which every live endpoint has sent a notice. */
 const HEARTBEAT_MARGIN_MS = 500
-/** How often the directory's file is looked after, in milliseconds; a sync takes 10. */
-const STORE_DIRECTORY_MS = 200
-/** How long an instance that hands its leadership over goes on, so that orders end cleanly. */
-const HAND_OVER_MS = 300
+/** How often the stored endpoint directory is checked for changes; a disk sync takes 10 ms. */
+const DIRECTORY_CHECK_INTERVAL_MS = 200
+/** How long an instance keeps running after handing over leadership, so that orders complete. */
+const HANDOVER_GRACE_MS = 300
 
-/** A dispatching instance, running. */
+/** The running parts of a dispatching instance. */
 interface RunningDispatch {
   readonly dispatcher: DispatchPart
   readonly control: ControlNode
@@ -53,15 +53,15 @@
 }
 
 /**
- * Runs a dispatching instance until SIGTERM: a voter of the log, and while it leads, the queue of
- * jobs and the dispatch of their tasks.
+ * Runs a dispatching instance until SIGTERM. The instance hosts a voter of the control log; while
+ * it leads, it also queues jobs and dispatches their tasks.
  *
- * @returns why it ended
+ * @returns the reason for stopping
  * @internal
  */
 export function runDispatch(settings: DispatchSettings) {
   const running = Effect.gen(function* () {
-    const context = yield* openProcess(settings, 'dispatch')
+    const context = yield* createProcessContext(settings, 'dispatch')
     const { log, telemetry } = context
     yield* startMetricsServer(context)
     const parts = new DispatchParts()
@@ -72,7 +72,7 @@
     const send = (to: string, message: Envelope): void => {
       if (to === instance) parts.receive(instance, boot, message)
       else links.send(to, message)
-      if (message.body.case === 'jobOutcome') parts.noteAnswered(to)
+      if (message.body.case === 'jobOutcome') parts.onOutcomeSent(to)
     }
     const gateway = new WorkerGateway()
     const after = (ms: number, run: () => void): void => {
@@ -82,42 +82,42 @@
     parts.proxy.bind(new OrderProxy({ gateway, send, now: context.now, after }))
     const dispatcher = yield* startDispatchPart(context, parts, gateway, send)
     const disk = new RealDisk(settings.dataFolder ?? 'data')
-    yield* startDirectoryKeeper(context, parts, dispatcher, disk)
+    yield* startDirectoryStore(context, parts, dispatcher, disk)
     const control = yield* startVoter(context, parts, dispatcher, disk, send)
     const discovery = yield* startDiscovery(context, { hostsVoter: true, links }, (peer) => {
       control.notePeer(peer, 0)
       parts.notices.use((notices) => {
-        notices.tellAll(peer)
+        notices.sendDirectoryTo(peer)
       })
     })
     parts.discovery.bind(discovery)
-    const notices = makeNotices(context, { dispatcher, discovery, control }, send)
+    const notices = makeNoticeExchange(context, { dispatcher, discovery, control }, send)
     parts.notices.bind(notices)
-    const server = yield* startOperators(context, { dispatcher, control, discovery, notices })
-    yield* startStatus(context, { dispatcher, control, discovery, notices })
-    yield* startRehearsal(context, dispatcher)
-    yield* startUseReport(context, () => {
+    const server = yield* startControlApi(context, { dispatcher, control, discovery, notices })
+    yield* startStatusUpdates(context, { dispatcher, control, discovery, notices })
+    yield* startWarmUp(context, dispatcher)
+    yield* startUsageReport(context, () => {
       const { leads, endpoints, openJobs, counters } = dispatcher.machine
       return { leads: Number(leads), endpoints, openJobs, ...counters, ...links.counters() }
     })
     const { host, zone, seeds } = settings
     log.info('started', { host, zone, seeds, disk: control.diskId(), term: control.term() })
-    const why = yield* context.awaitEnd
+    const why = yield* context.awaitStop
     const { leads, openJobs } = dispatcher.machine
     log.info('stopping', { why, leads, openJobs })
     server.closeAfterAnswers()
     discovery.tell({ kind: DiscoveryEventKind.Leaving })
     control.handOver()
-    yield* Effect.sleep(HAND_OVER_MS)
+    yield* Effect.sleep(HANDOVER_GRACE_MS)
     server.stopAccepting()
-    yield* links.drain(HAND_OVER_MS)
+    yield* links.drain(HANDOVER_GRACE_MS)
     log.info('stopped', { why, heldBack: telemetry.logger.counters().heldBack })
     return why
   })
   return Effect.scoped(running)
 }
 
-function makeNotices(
+function makeNoticeExchange(
   { instance, boot, now, startedAt, settings }: ProcessContext,
   { dispatcher, discovery, control }: Omit<RunningDispatch, 'notices'>,
   send: (to: string, message: Envelope) => void,
@@ -136,77 +136,82 @@
     },
     completeAt: startedAt + 2 * settings.heartbeatMs + HEARTBEAT_MARGIN_MS,
     followedBefore: (term) => {
-      // Before it has heard of the term, this voter may still confirm an earlier leader.
+      // Until this voter learns of the term, it may still confirm an earlier leader.
       return control.term() < term ? now() : (control.followedBefore(term) ?? startedAt)
     },
   })
 }
 
-/** Starts from the endpoints that were known before the restart, and stores them from now on. */
-function startDirectoryKeeper(
+/** Loads the endpoint directory stored before the restart, and stores its changes from now on. */
+function startDirectoryStore(
   { now, log }: ProcessContext,
   parts: DispatchParts,
   { machine, tell }: DispatchPart,
   disk: Disk,
 ): Effect.Effect<void, never, Scope.Scope> {
-  const keeper = new DirectoryKeeper({
+  const store = new DirectoryStore({
     disk,
     log,
-    known: () => directoryOf(machine, now()),
+    currentDirectory: () => endpointDirectoryOf(machine, now()),
     lossChanges: () => machine.lossChanges,
   })
-  parts.keeper.bind(keeper)
+  parts.directoryStore.bind(store)
   return Effect.gen(function* () {
-    const { notices, ...news } = yield* keeper.read()
+    const { notices, ...news } = yield* store.read()
     tell({ kind: DispatchEventKind.Loss, news })
     for (const notice of notices) tell({ kind: DispatchEventKind.Notice, notice })
-    yield* startTimer(STORE_DIRECTORY_MS, () => {
-      keeper.tick(now())
+    yield* startTimer(DIRECTORY_CHECK_INTERVAL_MS, () => {
+      store.tick(now())
     })
   })
 }
 
-/** Opens the interface for operators and endpoints. */
-function startOperators(
+/** Starts the control interface, which serves operators and endpoints. */
+function startControlApi(
   { settings, instance, boot, now, log, telemetry }: ProcessContext,
   { control, notices, discovery }: RunningDispatch,
 ) {
   const { host, port } = splitAddress(settings.control ?? '')
   const leader = (): string => discovery.machine.leader
-  const calls = { instance, boot, control, notices, leader, controlPort: port, now, log }
-  const operators = new OperatorCalls(calls)
-  return startControlServer({ host, port, control: operators, log: telemetry.lines('operators') })
+  const options = { instance, boot, control, notices, leader, controlPort: port, now, log }
+  const handler = new ControlRequestHandler(options)
+  return startControlServer({
+    host,
+    port,
+    control: handler,
+    log: telemetry.lineLogger('operators'),
+  })
 }
 
-/** Tells the parts, again and again, what the log knows of voters and of the leadership. */
-function startStatus(
+/** Periodically passes the control log's view of voters and leadership to the other parts. */
+function startStatusUpdates(
   { instance, boot, now, log }: ProcessContext,
   { dispatcher, control, discovery }: RunningDispatch,
 ): Effect.Effect<void, never, Scope.Scope> {
-  const join = new JoinKeeper({ instance, boot, control, now, log })
-  let leaderKnown = ''
+  const registration = new LearnerRegistration({ instance, boot, control, now, log })
+  let lastLeader = ''
   let changedAt = now()
   return startPacedTimer(() => {
     dispatcher.tell({ kind: DispatchEventKind.Confirmed, at: control.confirmedAt() })
     const voters = votersOf(control, dispatcher.machine, instance)
     discovery.tell({ kind: DiscoveryEventKind.Voters, ...voters })
     const members = control.status()?.members ?? []
-    dispatcher.setProxies(heardProxies(discovery.machine.helpers(now()), members))
-    join.tick()
-    if (voters.leader !== leaderKnown) {
-      leaderKnown = voters.leader
+    dispatcher.setProxies(reachableProxies(discovery.machine.helpers(now()), members))
+    registration.tick()
+    if (voters.leader !== lastLeader) {
+      lastLeader = voters.leader
       changedAt = now()
     }
-    const isNew = leaderKnown === '' || now() - changedAt < NEW_LEADER_MS
-    return isNew ? NEW_LEADER_STATUS_MS : STATUS_MS
+    const isNew = lastLeader === '' || now() - changedAt < NEW_LEADER_PERIOD_MS
+    return isNew ? NEW_LEADER_STATUS_INTERVAL_MS : STATUS_INTERVAL_MS
   })
 }
 
-/** Who hosts voters and who leads, as the log knows it here. */
+/** The instances that host voters, and the leader, as this instance's control log knows them. */
 function votersOf(control: ControlNode, machine: DispatchMachine, instance: string) {
   const instances = control.status()?.members.map((member) => member.instance) ?? []
-  const known = control.followedLeader()
-  // The own leadership counts once everything that was committed before is known here.
-  const leader = known === instance && !machine.leads ? '' : known
+  const followed = control.followedLeader()
+  // This instance counts as the leader only once it has applied all earlier committed entries.
+  const leader = followed === instance && !machine.leads ? '' : followed
   return { instances, leader, term: control.term() }
 }
--- a/apps/cherryhitch/src/lib/dispatching/runEntry.ts
+++ b/apps/cherryhitch/src/lib/dispatching/runEntry.ts
@@ -17,23 +17,26 @@
 import type { Scope } from 'effect'
 import { LateBound } from '../instance/LateBound'
 import { CallerRequests } from './CallerRequests'
-import { openProcess } from './openProcess'
-import type { ProcessContext } from './openProcess'
+import { createProcessContext } from './createProcessContext'
+import type { ProcessContext } from './createProcessContext'
 import { startDiscovery } from './startDiscovery'
 import type { DiscoveryPart } from './startDiscovery'
 import { startMetricsServer } from './startMetricsServer'
 import { startDispatchLinks } from './startDispatchLinks'
-import { startUseReport } from './startUseReport'
+import { startUsageReport } from './startUsageReport'
 import type { DispatchLinks } from './startDispatchLinks'
 
-/** Two thirds of the shortest time that a relay goes by; each tick wakes an idle entry up. */
+/** Two thirds of the relay's shortest timeout; shorter ticks wake an idle entry more often. */
 const RELAY_TICK_MS = 20
-/** Two probes a second apart are missed before the balancer sends connections elsewhere. */
+/**
+ * Time until the load balancer stops sending connections: two failed readiness probes, which are
+ * one second apart.
+ */
 const BALANCER_DELAY_MS = 2_300
-/** Kept back of the grace for the last answers to leave, in milliseconds. */
-const LAST_ANSWERS_MS = 400
+/** Part of the stop grace period that is reserved for sending the last answers. */
+const LAST_ANSWERS_MARGIN_MS = 400
 
-/** The parts of an entry that take messages, bound once each has started. */
+/** The parts of an entry that receive messages; each is bound once it has started. */
 class EntryParts {
   readonly relay = new LateBound<Part<RelayEvent>>()
   readonly discovery = new LateBound<DiscoveryPart>()
@@ -44,7 +47,7 @@
     if (body.case === 'jobOutcome') {
       this.logRejection(from, boot, body.value)
       this.tellRelay({ kind: RelayEventKind.Outcome, from, outcome: body.value })
-      this.noteAnswer(from, body.value)
+      this.noteLeaderAnswer(from, body.value)
     } else if (body.case === 'instanceDirectory') {
       const directory = body.value
       this.discovery.use((part) => {
@@ -55,11 +58,11 @@
 
   private logRejection(from: string, boot: number, { requestId, verdict }: JobOutcome): void {
     if (verdict !== JobVerdict.NOT_LEADER) return
-    this.log.info('a request came to an instance that does not lead', { requestId, from, boot })
+    this.log.info('request sent to an instance that is not the leader', { requestId, from, boot })
   }
 
-  /** An answer that only a leader gives shows that it is there. */
-  private noteAnswer(from: string, { verdict, term }: JobOutcome): void {
+  /** Tells discovery of an answer that only a leader gives, as evidence that it is alive. */
+  private noteLeaderAnswer(from: string, { verdict, term }: JobOutcome): void {
     if (verdict === JobVerdict.NOT_LEADER || verdict === JobVerdict.LEADER_LOST) return
     this.discovery.use((part) => {
       part.tell({ kind: DiscoveryEventKind.Heard, from, term })
@@ -74,15 +77,15 @@
 }
 
 /**
- * Runs an entry until SIGTERM: it takes jobs from callers, brings them to the instance that leads
- * and answers.
+ * Runs an entry until SIGTERM: it accepts jobs from callers, relays them to the leader and returns
+ * the answers.
  *
- * @returns why it ended
+ * @returns the reason for stopping
  * @internal
  */
 export function runEntry(settings: DispatchSettings) {
   const running = Effect.gen(function* () {
-    const context = yield* openProcess(settings, 'entry')
+    const context = yield* createProcessContext(settings, 'entry')
     const { log } = context
     yield* startMetricsServer(context)
     const parts = new EntryParts(log)
@@ -94,23 +97,23 @@
     const onLeader = (leader: string, term: number): void => {
       parts.tellRelay({ kind: RelayEventKind.Leader, leader, term })
     }
-    const onNoLeaderInReach = (): void => {
+    const onQuorumUnreachable = (): void => {
       parts.tellRelay({ kind: RelayEventKind.NoLeaderInReach })
     }
-    const discovery = { hostsVoter: false, links, onLeader, onNoLeaderInReach }
+    const discovery = { hostsVoter: false, links, onLeader, onQuorumUnreachable }
     parts.discovery.bind(yield* startDiscovery(context, discovery))
     let isDraining = false
     const isReady = (): boolean => relay.hasLeader && !isDraining
     const front = yield* startInterfaces(context, requests, isReady)
-    yield* startUseReport(context, () => ({ requestsOpen: requests.size, ...links.counters() }))
+    yield* startUsageReport(context, () => ({ requestsOpen: requests.size, ...links.counters() }))
     log.info('started', { host: settings.host, zone: settings.zone, seeds: settings.seeds })
-    const why = yield* context.awaitEnd
+    const why = yield* context.awaitStop
     isDraining = true
     log.info('stopping', { why, open: requests.size })
     front.closeAfterAnswers()
     yield* Effect.sleep(BALANCER_DELAY_MS)
     front.stopAccepting()
-    const limitMs = settings.stopGraceMs - BALANCER_DELAY_MS - LAST_ANSWERS_MS
+    const limitMs = settings.stopGraceMs - BALANCER_DELAY_MS - LAST_ANSWERS_MARGIN_MS
     yield* Effect.timeoutOption(front.whenIdle, limitMs)
     log.info('stopped', { why, open: requests.size })
     return why
@@ -118,7 +121,7 @@
   return Effect.scoped(running)
 }
 
-/** Starts the part that brings requests to the leader. */
+/** Starts the part that relays requests to the leader. */
 function startRelay(
   { boot, now, log, telemetry, onDefect }: ProcessContext,
   parts: EntryParts,
@@ -145,7 +148,7 @@
   })
 }
 
-/** Opens the interfaces for callers and for probes. */
+/** Starts the interfaces for callers and for readiness probes. */
 function startInterfaces(
   { settings, telemetry }: ProcessContext,
   clients: CallerRequests,
@@ -153,10 +156,10 @@
 ) {
   return Effect.gen(function* () {
     const callers = splitAddress(settings.callers ?? '')
-    const log = telemetry.lines('callers')
+    const log = telemetry.lineLogger('callers')
     const front = yield* startFrontServer({ ...callers, clients, isReady, log })
     const probes = splitAddress(settings.readiness ?? '')
-    yield* startReadinessServer({ ...probes, isReady, log: telemetry.lines('readiness') })
+    yield* startReadinessServer({ ...probes, isReady, log: telemetry.lineLogger('readiness') })
     return front
   })
 }
--- a/apps/cherryhitch/src/lib/dispatching/startDiscovery.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startDiscovery.ts
@@ -6,10 +6,10 @@
 import type { DispatchSettings } from '@cherryhitch/settings'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
-import type { ProcessContext } from './openProcess'
+import type { ProcessContext } from './createProcessContext'
 import type { DispatchLinks } from './startDispatchLinks'
 
-/** Least time between two looks at what is due, in milliseconds: that is 100 ms and more apart. */
+/** Minimum interval between checks for due timers, which are at least 100 ms apart. */
 const TICK_MS = 20
 
 /** @internal */
@@ -17,15 +17,15 @@
   readonly hostsVoter: boolean
   readonly links: DispatchLinks
   readonly onLeader?: (leader: string, term: number) => void
-  readonly onNoLeaderInReach?: () => void
+  readonly onQuorumUnreachable?: () => void
 }
 
-/** Discovery, running. @internal */
+/** The running discovery part. @internal */
 export interface DiscoveryPart extends Part<DiscoveryEvent> {
   readonly machine: DiscoveryMachine
 }
 
-/** Instances that the seeds name. @internal */
+/** The instances listed as seeds in the settings. @internal */
 export function seedInstances({ seeds }: DispatchSettings): readonly string[] {
   return seeds.map((seed) => instanceAt(splitAddress(seed).host))
 }
@@ -33,7 +33,7 @@
 /** @internal */
 export function startDiscovery(
   { settings, instance, startedAt, log, onDefect }: ProcessContext,
-  { hostsVoter, links, onLeader, onNoLeaderInReach }: DiscoveryPartOptions,
+  { hostsVoter, links, onLeader, onQuorumUnreachable }: DiscoveryPartOptions,
   onVoterHost: (instance: string) => void = () => undefined,
 ): Effect.Effect<DiscoveryPart, never, Scope.Scope> {
   const machine = new DiscoveryMachine({
@@ -55,12 +55,12 @@
         onVoterHost(action.instance)
         return
       case DiscoveryActionKind.LeaderChanged:
-        noteLeader(log, action.leader, action.term)
+        logLeader(log, action.leader, action.term)
         onLeader?.(action.leader, action.term)
         return
       case DiscoveryActionKind.NoLeaderInReach:
-        log.info('no majority of the hosts of voters is in reach', { hosts: machine.voterHosts })
-        onNoLeaderInReach?.()
+        log.info('no majority of the voter hosts is reachable', { hosts: machine.voterHosts })
+        onQuorumUnreachable?.()
         return
       default:
         exhaustive(action)
@@ -71,6 +71,6 @@
   })
 }
 
-function noteLeader(log: ProcessContext['log'], leader: string, term: number): void {
-  log.info(leader === '' ? 'the leader is lost' : 'a leader is found', { leader, term })
+function logLeader(log: ProcessContext['log'], leader: string, term: number): void {
+  log.info(leader === '' ? 'leader lost' : 'leader found', { leader, term })
 }
--- a/apps/cherryhitch/src/lib/dispatching/startDispatchLinks.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startDispatchLinks.ts
@@ -4,28 +4,28 @@
 import type { LinkError, LinkHost, LinkTuning } from '@cherryhitch/rpc'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
-import type { ProcessContext } from './openProcess'
+import type { ProcessContext } from './createProcessContext'
 
 /**
- * A silent connection is found out well before callers give up. What waits for a peer longer than an
- * election is of no use to it any more.
+ * A dead connection is detected well before callers time out. Messages that have waited for a peer
+ * longer than an election takes are dropped, as they are of no use to it any more.
  */
-const TUNING: Partial<LinkTuning> = {
+const LINK_TUNING: Partial<LinkTuning> = {
   silentAfterMs: 350,
   probeTimeoutMs: 250,
-  // Announcements go over each link once a second at least, and ask for an answer themselves.
+  // Announcements use each link at least once a second and request an answer themselves.
   keepAliveMs: 1_100,
   reconnectMaxMs: 400,
   staleAfterMs: 1_200,
   tickMs: 50,
-  // One receipt for many batches: with one for each, half of all frames are receipts. A link is taken
-  // for silent three times later.
+  // Acknowledges many batches with one receipt; one for each would make up half of all frames. The
+  // silence limit of a link is about three times this gap.
   receiptGapMs: 120,
-  // What is sent within the gap of receipts, four times over.
+  // Four times the number of batches that are sent within the receipt gap.
   maxBatchesInFlight: 128,
 }
 
-/** The links of an instance to those that discovery finds. @internal */
+/** The links of an instance to the instances found by discovery. @internal */
 export class DispatchLinks {
   constructor(
     private readonly host: LinkHost,
@@ -58,22 +58,22 @@
   onEnvelope: (from: string, boot: number, message: Envelope) => void,
 ): Effect.Effect<DispatchLinks, LinkError, Scope.Scope> {
   const { host, linkPort: port } = settings
-  const log = telemetry.lines('links')
+  const log = telemetry.lineLogger('links')
   const started = startLinkHost({
-    ...TUNING,
+    ...LINK_TUNING,
     instance,
     boot,
     listen: { host, port },
     peers: [],
     onEnvelope,
     onLinkUp: (peer) => {
-      log(`${peer} is reached`)
+      log(`${peer} is connected`)
     },
     onLinkDown: (peer) => {
-      log(`${peer} is lost`)
+      log(`${peer} is disconnected`)
     },
     onStaleBoot: (from, staleBoot) => {
-      log(`an earlier process of ${from} sends (boot ${staleBoot})`)
+      log(`message from an earlier process of ${from} (boot ${staleBoot})`)
     },
     log,
   })
--- a/apps/cherryhitch/src/lib/dispatching/startDispatchPart.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startDispatchPart.ts
@@ -4,12 +4,12 @@
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 import type { DispatchParts } from './DispatchParts'
-import type { ProcessContext } from './openProcess'
+import type { ProcessContext } from './createProcessContext'
 
-/** A lease ends this much before the longest that endpoints grant, in milliseconds. */
+/** Margin between the lease that is requested and the longest that endpoints grant. */
 const LEASE_MARGIN_MS = 100
 
-/** The dispatcher, running. @internal */
+/** The running dispatcher. @internal */
 export interface DispatchPart extends Dispatcher {
   readonly machine: DispatchMachine
 }
@@ -24,7 +24,7 @@
   const { maxLeaseMs } = settings
   const timing = { leaseMs: maxLeaseMs - LEASE_MARGIN_MS, maxGrantMs: maxLeaseMs }
   const { without = [] } = settings
-  if (without.length > 0) log.warn('mechanisms are left out', { without })
+  if (without.length > 0) log.warn('mechanisms disabled by the settings', { without })
   const machine = new DispatchMachine({ timing, without })
   const started = startDispatcher({
     boot,
@@ -33,20 +33,20 @@
     send,
     spread: (notice) => {
       parts.notices.use((notices) => {
-        notices.pass(notice)
+        notices.broadcastNotice(notice)
       })
     },
     spreadLosses: (news) => {
       parts.notices.use((notices) => {
-        notices.passLosses(news)
+        notices.broadcastLosses(news)
       })
-      parts.keeper.use((keeper) => {
-        keeper.noteNews(now())
+      parts.directoryStore.use((store) => {
+        store.onLossUpdate(now())
       })
     },
     onDefect,
-    log: (sentence, fields) => {
-      log.info(sentence, fields)
+    log: (message, fields) => {
+      log.info(message, fields)
     },
     measure: (stage, route, ms) => {
       telemetry.measure(stage, route, ms)
--- a/apps/cherryhitch/src/lib/dispatching/startUseReport.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startUsageReport.ts
@@ -2,19 +2,19 @@
 import { ProcessUseReader } from '@cherryhitch/telemetry'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
-import type { ProcessContext } from './openProcess'
+import type { ProcessContext } from './createProcessContext'
 
-/** A line of the log for each of these, in milliseconds: short beside a minute's trouble. */
-const REPORT_MS = 4_000
+/** Interval of the log lines: short enough to resolve a disturbance of one minute. */
+const REPORT_INTERVAL_MS = 4_000
 
 /**
- * Logs what the process uses, and what its parts count beside it, so that a lack of processor time
- * can be told from a lack of endpoints afterwards.
+ * Periodically logs the resource usage of the process together with the counters of its parts, so
+ * that a shortage of processor time can later be distinguished from a shortage of endpoints.
  *
- * @param read - what the parts have counted since the start
+ * @param read - returns the counters of the parts since the start
  * @internal
  */
-export function startUseReport(
+export function startUsageReport(
   { log, telemetry }: ProcessContext,
   read: () => Readonly<Record<string, number>>,
 ): Effect.Effect<void, never, Scope.Scope> {
@@ -29,8 +29,8 @@
     telemetry.metrics.registerCounters('process', 'Used by the process.', () => {
       return { ...reader.read() }
     })
-    yield* startTimer(REPORT_MS, () => {
-      log.info('the process used so far', { ...reader.read(), ...read() })
+    yield* startTimer(REPORT_INTERVAL_MS, () => {
+      log.info('resource usage since the start of the process', { ...reader.read(), ...read() })
     })
   })
 }
--- a/apps/cherryhitch/src/lib/dispatching/startVoter.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startVoter.ts
@@ -6,35 +6,39 @@
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 import type { DispatchParts } from './DispatchParts'
-import type { ProcessContext } from './openProcess'
-import { tableOf } from './RoutingDocument'
+import type { ProcessContext } from './createProcessContext'
+import { routingTableOf } from './RoutingDocument'
 import { seedInstances } from './startDiscovery'
 import type { DispatchPart } from './startDispatchPart'
 
-/** Name of the first set of voters; the folder of a voter belongs to one deployment only. */
+/** Id of the initial set of voters; fixed, as a data folder belongs to one deployment only. */
 const CLUSTER_ID = 'first'
 /**
- * The log's leader asks its voters at this pace. A new leader starts no task before they have
- * confirmed it once more, and a slower pace would add that much to each change of the leader.
+ * Interval of the leader's heartbeats to its voters. A new leader starts no task until the voters
+ * have confirmed it once more, so a longer interval would delay every change of leader.
  */
 const HEARTBEAT_MS = 60
 /**
- * Shortest and longest wait for a silent leader: five heartbeats at least. Callers wait for
- * most answers no longer than that, so what comes without a leader is lost to them.
+ * Bounds of the election timeout: at least five heartbeat intervals. Callers wait no longer than
+ * that for most answers, so requests that arrive while there is no leader time out.
  */
 const ELECTION_MIN_MS = 300
 const ELECTION_MAX_MS = 600
-/** Half of the pace of heartbeats, in milliseconds. */
+/** Half of the heartbeat interval. */
 const TICK_MS = 30
 /**
- * A voter that is silent for this long is replaced by a learner that has caught up. A successor
- * counts as lost until 4 s after its start, and has to vote by then.
+ * A voter that is silent for this long is replaced by a learner that has caught up. A replacement
+ * instance counts as lost until 4 s after its start, so its disk has to be a voter by then.
  */
 const REPLACE_SILENT_MS = 2_000
-/** A snapshot every so many entries: each may hold a whole configuration of some kilobytes. */
+/** Log entries between snapshots: an entry may hold a whole configuration of several kilobytes. */
 const SNAPSHOT_EVERY = 256
 
-/** Starts this instance's voter of the log, which stores the routing and elects the leader. @internal */
+/**
+ * Starts this instance's voter of the control log, which stores the routing and elects the leader.
+ *
+ * @internal
+ */
 export function startVoter(
   context: ProcessContext,
   parts: DispatchParts,
@@ -55,7 +59,7 @@
     ...(isFirst && { autoInit: { clusterId: CLUSTER_ID } }),
     ...(toleratedLosses !== undefined && { toleratedLosses }),
     send,
-    log: telemetry.lines('control'),
+    log: telemetry.lineLogger('control'),
     onDefect,
     onSettings: () => undefined,
     voterTiming: {
@@ -68,14 +72,14 @@
     tickMs: TICK_MS,
     voterLimits: { snapshotEvery: SNAPSHOT_EVERY },
     onRouting: (routing) => {
-      onRouting(routing, dispatcher, log)
+      applyRouting(routing, dispatcher, log)
     },
     onLeadership: (term, routing) => {
       if (term === undefined) {
         dispatcher.tell({ kind: DispatchEventKind.StepDown })
         return
       }
-      dispatcher.tell({ kind: DispatchEventKind.Lead, term, table: tableOf(routing) })
+      dispatcher.tell({ kind: DispatchEventKind.Lead, term, table: routingTableOf(routing) })
       parts.readDirectories(term)
     },
   })
@@ -86,13 +90,16 @@
   })
 }
 
-function onRouting(
+function applyRouting(
   routing: RoutingState,
   dispatcher: DispatchPart,
   log: ProcessContext['log'],
 ): void {
-  const table = tableOf(routing)
+  const table = routingTableOf(routing)
   if (table === undefined) return
-  log.info('a routing is in force', { version: table.version, routes: table.routes.length })
+  log.info('routing configuration in force', {
+    version: table.version,
+    routes: table.routes.length,
+  })
   dispatcher.tell({ kind: DispatchEventKind.Routing, table })
 }
