--- a/apps/cherryhitch/src/index.ts
+++ b/apps/cherryhitch/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon and its command-line client, as a library for the bench and for tests.
+ * The daemon and its command-line client, as a library for benchmarks and tests.
  *
  * @packageDocumentation
  */
@@ -9,6 +9,6 @@
 export type { InstancePorts } from './lib/instance/Instance'
 export { defaultInstanceTiming } from './lib/instance/InstanceOptions'
 export type { InstanceOptions, InstanceTiming } from './lib/instance/InstanceOptions'
-export { InstanceTelemetry, PlainTelemetry } from './lib/instance/InstanceTelemetry'
+export { InstanceTelemetry, LogOnlyTelemetry } from './lib/instance/InstanceTelemetry'
 export { InstancePhase } from './lib/instance/Readiness'
 export { startInstance } from './lib/instance/startInstance'
--- a/apps/cherryhitch/src/launch.ts
+++ b/apps/cherryhitch/src/launch.ts
@@ -1,6 +1,7 @@
 /**
- * Starts the bundled program beside this file from code that was compiled when it was built, where
- * there is some that fits. A process then compiles neither its start nor what its first jobs need.
+ * Starts the bundled program next to this file, with the code cache that was created at build time
+ * if a matching one exists. The process then compiles neither its startup code nor the code that
+ * its first jobs need.
  */
 import fs from 'node:fs'
 import Module, { createRequire } from 'node:module'
@@ -8,11 +9,11 @@
 import { Script } from 'node:vm'
 import { codeCacheFile, readCodeCache, writeCodeCache } from './lib/codeCache/codeCache'
 
-/** Set by the build alone: on this signal the process stores its compiled code and ends. */
+/** Set only by the build: on `STORE_SIGNAL`, the process stores its compiled code and exits. */
 const STORE_VARIABLE = 'CHERRYHITCH_STORE_CODE'
 const STORE_SIGNAL = 'SIGUSR2'
 
-/** What Node.js wraps around each module. */
+/** The function that Node.js wraps around each CommonJS module. */
 type ModuleFunction = (
   exports: object,
   require: NodeJS.Require,
@@ -33,11 +34,13 @@
   ...(cachedData !== undefined && { cachedData }),
 })
 if (script.cachedDataRejected === true) {
-  process.stderr.write(`${cacheFile} was made by another Node.js or with other options: not used\n`)
+  process.stderr.write(
+    `${cacheFile} not used: made by another version of Node.js or with other options\n`,
+  )
 }
 
 if (isStoring) {
-  // A build that is broken off leaves no process behind.
+  // Exits when the build is aborted and its end of the pipe closes.
   process.stdin.resume().on('end', () => process.exit(1))
   process.on(STORE_SIGNAL, () => {
     writeCodeCache(cacheFile, source, script.createCachedData())
--- a/apps/cherryhitch/src/lib/cluster/ClusterOptions.ts
+++ b/apps/cherryhitch/src/lib/cluster/ClusterOptions.ts
@@ -11,6 +11,6 @@
 export interface ClusterOptions {
   readonly instances: readonly ClusterInstance[]
   readonly timing?: Partial<InstanceTiming>
-  /** Takes log lines with their prefix; they are dropped when it is left out. */
+  /** Receives log lines, prefixed with the instance's name; without it, they are discarded. */
   readonly log?: (line: string) => void
 }
--- a/apps/cherryhitch/src/lib/cluster/clusterFixture.ts
+++ b/apps/cherryhitch/src/lib/cluster/clusterFixture.ts
@@ -15,17 +15,17 @@
 const LOOPBACK = '127.0.0.1'
 const SLOTS = 4
 const POLL_MS = 20
-/** Far more than anything here takes; a test that reaches it fails. */
-const GIVE_UP_MS = 20_000
+/** Far longer than any condition takes; a test that reaches it fails. */
+const WAIT_TIMEOUT_MS = 20_000
 
-/** A small system with stand-ins around it, for tests. @internal */
+/** A small cluster with stand-in endpoints, callers and balancer, for tests. @internal */
 export interface ClusterFixture {
   readonly instances: readonly Instance[]
   readonly endpoints: readonly StandInEndpoint[]
   readonly endpointLedger: EndpointLedger
   readonly callerLedger: CallerLedger
   readonly pool: CallerPool
-  /** Submits through one instance only. */
+  /** Creates a pool that submits through one instance only. */
   readonly poolAt: (instance: Instance) => Effect.Effect<CallerPool, never, Scope.Scope>
 }
 
@@ -37,13 +37,13 @@
 ]
 
 /** Waits until a condition holds. @internal */
-export function eventually(what: string, holds: () => boolean): Effect.Effect<void> {
+export function eventually(condition: string, holds: () => boolean): Effect.Effect<void> {
   const wait = Effect.gen(function* () {
     while (!holds()) yield* Effect.sleep(POLL_MS)
   })
   return Effect.timeoutOrElse(wait, {
-    duration: GIVE_UP_MS,
-    orElse: () => Effect.die(new Error(`never came true: ${what}`)),
+    duration: WAIT_TIMEOUT_MS,
+    orElse: () => Effect.die(new Error(`timed out waiting for a condition: ${condition}`)),
   })
 }
 
@@ -63,15 +63,15 @@
       endpoints.push(yield* startStandInEndpoint({ ...place, ...worker }))
     }
     const callerLedger = new CallerLedger()
-    const poolOver = (some: readonly Instance[]) =>
+    const poolFor = (some: readonly Instance[]) =>
       Effect.gen(function* () {
         const callers = some.map(({ ports }) => `${LOOPBACK}:${ports.callers}`)
         const balancer = yield* startBalancer({ instances: callers })
         return yield* callerPool({ balancer, ledger: callerLedger })
       })
-    const pool = yield* poolOver(instances)
+    const pool = yield* poolFor(instances)
     yield* awaitSlots(instances, endpoints.length * SLOTS)
-    const poolAt = (instance: Instance) => poolOver([instance])
+    const poolAt = (instance: Instance) => poolFor([instance])
     return { instances, endpoints, endpointLedger, callerLedger, pool, poolAt }
   })
 }
@@ -84,19 +84,19 @@
   return eventually('every instance knows every slot', () => instances.every(knowsAll))
 }
 
-/** Runs a test's story with a fixture that ends with it. @internal */
+/** Runs the body of a test with a fixture that is stopped afterwards. @internal */
 export async function withFixture(
-  story: (fixture: ClusterFixture) => Effect.Effect<void, unknown, Scope.Scope>,
+  body: (fixture: ClusterFixture) => Effect.Effect<void, unknown, Scope.Scope>,
 ): Promise<void> {
-  const exit = await Effect.runPromiseExit(Effect.scoped(Effect.flatMap(startFixture(), story)))
+  const exit = await Effect.runPromiseExit(Effect.scoped(Effect.flatMap(startFixture(), body)))
   if (Exit.isFailure(exit)) throw new Error(String(exit.cause))
 }
 
-/** A job of tasks of the given run times. @internal */
+/** A job with one task for each of the given run times. @internal */
 export function jobOf(
   submission: string,
   runTimes: readonly number[],
-  more: Partial<JobRequest> = {},
+  overrides: Partial<JobRequest> = {},
 ): JobRequest {
   return {
     submission,
@@ -106,6 +106,6 @@
     deadlineMs: 8000,
     arrivalMs: 0,
     tasks: runTimes.map((runMs, i) => ({ service: 'trace', token: `${submission}/${i}`, runMs })),
-    ...more,
+    ...overrides,
   }
 }
--- a/apps/cherryhitch/src/lib/cluster/startCluster.test.ts
+++ b/apps/cherryhitch/src/lib/cluster/startCluster.test.ts
@@ -9,7 +9,7 @@
 import type { ClusterFixture } from './clusterFixture'
 import { eventually, jobOf, withFixture } from './clusterFixture'
 
-function assertPromises({ endpointLedger, callerLedger }: ClusterFixture): void {
+function assertInvariants({ endpointLedger, callerLedger }: ClusterFixture): void {
   const report = checkLedgers(endpointLedger, callerLedger)
   assert.deepEqual(report.violations, [])
 }
@@ -29,7 +29,7 @@
 }
 
 describe('startCluster', () => {
-  it('answers jobs whole through every instance', () =>
+  it('answers jobs completely through every instance', () =>
     withFixture((fixture) =>
       Effect.gen(function* () {
         for (const [index, instance] of fixture.instances.entries()) {
@@ -40,11 +40,11 @@
           assert.equal(answer.outcome, CallerOutcome.Answered, answer.detail)
         }
         assert.equal(fixture.endpointLedger.runs.length, 20 * fixture.instances.length)
-        assertPromises(fixture)
+        assertInvariants(fixture)
       }),
     ))
 
-  it('runs a non-idempotent job once, however often and wherever it is sent', () =>
+  it('runs a non-idempotent job once, however often and wherever it is submitted', () =>
     withFixture((fixture) =>
       Effect.gen(function* () {
         const job = jobOf('demand', [60], { key: 'claim-7', idempotent: false })
@@ -58,11 +58,11 @@
           assert.equal(answer.outcome, CallerOutcome.Answered, answer.detail)
         }
         assert.equal(fixture.endpointLedger.runs.length, 1)
-        assertPromises(fixture)
+        assertInvariants(fixture)
       }),
     ))
 
-  it('lets one of two operators win, and tells the other who did', () =>
+  it('applies one of two conflicting changes, and names its operator to the other', () =>
     withFixture(({ instances }) =>
       Effect.gen(function* () {
         const [first, second] = yield* Effect.all(
@@ -98,11 +98,11 @@
         assert.equal(end, DrainEnd.Complete)
         const outcomes = fixture.callerLedger.attempts.map(({ outcome }) => outcome)
         assert.deepEqual(new Set(outcomes), new Set([CallerOutcome.Answered]))
-        assertPromises(fixture)
+        assertInvariants(fixture)
       }),
     ))
 
-  it('gives no work to an endpoint that leaves, and loses none', () =>
+  it('starts no task on a leaving endpoint, and loses no job', () =>
     withFixture((fixture) =>
       Effect.gen(function* () {
         const endpoint = at(fixture.endpoints, 0)
@@ -121,7 +121,7 @@
           ({ outcome }) => outcome === CallerOutcome.Answered,
         )
         assert.equal(answered.length, jobs.length)
-        assertPromises(fixture)
+        assertInvariants(fixture)
       }),
     ))
 })
--- a/apps/cherryhitch/src/lib/cluster/startCluster.ts
+++ b/apps/cherryhitch/src/lib/cluster/startCluster.ts
@@ -2,7 +2,7 @@
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 import type { Instance } from '../instance/Instance'
-import { PlainTelemetry } from '../instance/InstanceTelemetry'
+import { LogOnlyTelemetry } from '../instance/InstanceTelemetry'
 import { InstancePhase } from '../instance/Readiness'
 import type { InstanceError } from '../instance/startInstance'
 import { startInstance } from '../instance/startInstance'
@@ -14,7 +14,7 @@
 
 /**
  * Starts several instances in this process, on free ports of the loopback address, and waits
- * until all are ready. Voters keep their log in memory: for demos and tests.
+ * until all are ready. Voters keep their log in memory. For demos and tests.
  *
  * @public
  */
@@ -26,7 +26,7 @@
     for (const member of options.instances) {
       instances.push(yield* startMember(member, options))
     }
-    introduce(instances)
+    connectPeers(instances)
     yield* awaitReady(instances)
     return instances
   })
@@ -46,15 +46,15 @@
     endpoints: anyPort,
     operators: anyPort,
     instances: anyPort,
-    // Ports are not known before all have started; `introduce` tells them.
+    // Ports are only known once all instances have started; `connectPeers` then sets them.
     peers: others.map((other) => ({ ...other, ...anyPort })),
     ...(voter ? { disk: new MemoryDisk(), autoInit: { clusterId: CLUSTER_ID } } : {}),
     ...(timing === undefined ? {} : { timing }),
-    telemetry: new PlainTelemetry((line) => log?.(`${instance} ${line}`)),
+    telemetry: new LogOnlyTelemetry((line) => log?.(`${instance} ${line}`)),
   })
 }
 
-function introduce(instances: readonly Instance[]): void {
+function connectPeers(instances: readonly Instance[]): void {
   const peers = instances.map(({ name, ports }) => ({
     instance: name,
     host: LOOPBACK,
--- a/apps/cherryhitch/src/lib/codeCache/codeCache.test.ts
+++ b/apps/cherryhitch/src/lib/codeCache/codeCache.test.ts
@@ -9,13 +9,13 @@
 import { codeCacheFile, readCodeCache, writeCodeCache } from './codeCache'
 
 const ROLE = 'entry'
-/** A program that says which arguments it was started with, and waits for input to end. */
+/** A program that prints its arguments and its file name, and exits on input. */
 const PROGRAM = `
   const { basename } = require('node:path')
   console.log(process.argv.slice(2).join(' '), basename(__filename))
   process.stdin.on('data', () => process.exit(0))`
 
-describe('compiled code', () => {
+describe('code cache', () => {
   let folder = ''
   before(async () => {
     folder = fs.mkdtempSync(path.join(os.tmpdir(), 'cherryhitch-code-cache-'))
@@ -34,7 +34,7 @@
   const programFile = (): string => path.join(folder, 'program.cjs')
   const cacheFile = (): string => codeCacheFile(programFile(), ROLE)
 
-  /** Starts the program; gives what it wrote until it ended. */
+  /** Runs the program until it exits; returns its output. */
   async function run(env: NodeJS.ProcessEnv = {}): Promise<{ out: string; err: string }> {
     const args = [path.join(folder, 'cherryhitch.cjs'), ROLE, '--quick']
     const child = spawn(process.execPath, args, { env: { ...process.env, ...env } })
@@ -53,7 +53,7 @@
     return { out: out.trim(), err }
   }
 
-  it('is stored on request, and the program runs with it and without', async () => {
+  it('is stored on request, and the program runs with and without it', async () => {
     fs.writeFileSync(programFile(), PROGRAM)
     const expected = { out: `${ROLE} --quick program.cjs`, err: '' }
     assert.deepEqual(await run(), expected)
@@ -62,7 +62,7 @@
     assert.deepEqual(await run(), expected)
   })
 
-  it('is not waited for once the build that asked for it is gone', async () => {
+  it('stops waiting for the store signal when the build closes its input', async () => {
     const args = [path.join(folder, 'cherryhitch.cjs'), ROLE]
     const env = { ...process.env, CHERRYHITCH_STORE_CODE: '1' }
     const child = spawn(process.execPath, args, { env })
@@ -71,12 +71,12 @@
     assert.equal(code, 1)
   })
 
-  it('of an earlier program is not used, even when both are as long', async () => {
+  it('is not used for a changed program of the same length', async () => {
     fs.writeFileSync(programFile(), PROGRAM.replace('slice(2)', 'slice(3)'))
     assert.deepEqual(await run(), { out: '--quick program.cjs', err: '' })
   })
 
-  it('that does not fit is told of and not used', async () => {
+  it('is reported and not used when V8 rejects it', async () => {
     fs.writeFileSync(programFile(), PROGRAM)
     const bytes = fs.readFileSync(cacheFile())
     fs.writeFileSync(cacheFile(), bytes.subarray(0, bytes.length / 2))
@@ -85,7 +85,7 @@
     assert.match(err, /not used/)
   })
 
-  it('is read only for the source of which it was made', () => {
+  it('is read only for the source it was made from', () => {
     const file = path.join(folder, 'other.codecache')
     assert.equal(readCodeCache(file, 'a()'), undefined)
     writeCodeCache(file, 'a()', Buffer.from('code'))
--- a/apps/cherryhitch/src/lib/codeCache/codeCache.ts
+++ b/apps/cherryhitch/src/lib/codeCache/codeCache.ts
@@ -1,6 +1,7 @@
 /**
- * Files of compiled code. V8 takes one only if it was made by the same V8 with the same options, but
- * compares no more of the source than its length; so each file begins with a hash of the source.
+ * Files with compiled code. V8 accepts compiled code only if it was made by the same version of V8
+ * with the same options, but of the source it compares only the length. So each file begins with a
+ * hash of the source.
  */
 import { createHash } from 'node:crypto'
 import fs from 'node:fs'
@@ -13,12 +14,17 @@
   return createHash(HASH_ALGORITHM).update(source).digest()
 }
 
-/** The file that belongs to a role of a bundled program: each role runs with options of its own. @internal */
+/**
+ * Path of the code cache of a bundled program for one role. Roles have separate files, as each runs
+ * with its own options.
+ *
+ * @internal
+ */
 export function codeCacheFile(programFile: string, role: string): string {
   return path.join(path.dirname(programFile), `${role}.codecache`)
 }
 
-/** Compiled code for the source; undefined when there is none, or it was made of another source. @internal */
+/** Compiled code of the source; undefined if the file is missing or of another source. @internal */
 export function readCodeCache(file: string, source: string): Buffer | undefined {
   if (!fs.existsSync(file)) return undefined
   const bytes = fs.readFileSync(file)
@@ -26,7 +32,7 @@
   return bytes.subarray(HASH_BYTES)
 }
 
-/** Stores compiled code of the source. @internal */
+/** Stores the compiled code of the source. @internal */
 export function writeCodeCache(file: string, source: string, code: Buffer): void {
   const partial = `${file}.partial`
   fs.writeFileSync(partial, Buffer.concat([hashOf(source), code]))
--- a/apps/cherryhitch/src/lib/demo/DemoReport.ts
+++ b/apps/cherryhitch/src/lib/demo/DemoReport.ts
@@ -1,11 +1,11 @@
 import type { InvariantReport } from '@cherryhitch/stand-ins'
 import { Invariant } from '@cherryhitch/stand-ins'
 
-/** What the demo measured; counts come from the stand-ins' own ledgers. @public */
+/** Results of the demo; all counts come from the ledgers of the stand-ins. @public */
 export interface DemoReport {
   readonly jobs: number
   readonly answeredJobs: number
-  /** What the callers of the others were told. */
+  /** For each unanswered job, the outcome that its caller received. */
   readonly unanswered: readonly string[]
   readonly startedTasks: number
   readonly messages: number
@@ -25,24 +25,24 @@
   const perTask = report.messages / Math.max(1, report.startedTasks)
   const wastedShare = (100 * report.wastedMessages) / Math.max(1, report.startedTasks)
   const rows: readonly (readonly [string, string])[] = [
-    ['jobs', `${report.jobs}, ${report.answeredJobs} answered whole`],
+    ['jobs', `${report.jobs}, ${report.answeredJobs} answered completely`],
     ['tasks started', String(report.startedTasks)],
-    ['100 tasks, idle', over(report.wideOverIdeal.p50, report.wideOverIdeal.p99, 'p50')],
-    ['mixed load', over(report.loadOverIdeal.mean, report.loadOverIdeal.p99, 'mean')],
+    ['100 tasks, idle', ratioText(report.wideOverIdeal.p50, report.wideOverIdeal.p99, 'p50')],
+    ['mixed load', ratioText(report.loadOverIdeal.mean, report.loadOverIdeal.p99, 'mean')],
     ['added to one task', addedText(report.addedMs)],
     ['messages per task', perTask.toFixed(2)],
     ['wasted messages', `${report.wastedMessages} (${wastedShare.toFixed(2)} per 100 tasks)`],
     ['double starts', String(counts[Invariant.DoubleStart])],
     ['partial answers', String(counts[Invariant.PartialAnswer])],
     ['false "not run"', String(counts[Invariant.RunBehindNotRun])],
-    ['all promises', report.invariants.holds ? 'hold' : 'BROKEN'],
+    ['all invariants', report.invariants.holds ? 'hold' : 'BROKEN'],
   ]
   const width = Math.max(...rows.map(([name]) => name.length))
   const lines = rows.map(([name, text]) => `${name.padEnd(width)}  ${text}`)
   return [...lines, ...report.unanswered].join('\n')
 }
 
-function over(first: number, p99: number, name: string): string {
+function ratioText(first: number, p99: number, name: string): string {
   return `${first.toFixed(3)} times the ideal (${name}), ${p99.toFixed(3)} (p99)`
 }
 
--- a/apps/cherryhitch/src/lib/demo/findUnanswered.ts
+++ b/apps/cherryhitch/src/lib/demo/findUnanswered.ts
@@ -1,7 +1,7 @@
 import type { CallerLedger } from '@cherryhitch/stand-ins'
 import { CallerOutcome } from '@cherryhitch/stand-ins'
 
-/** One sentence for each job without a whole answer, saying what its caller was told. @internal */
+/** Describes what the caller received, for each job without a complete answer. @internal */
 export function findUnanswered(ledger: CallerLedger): readonly string[] {
   return ledger.attempts
     .filter(({ outcome }) => outcome !== CallerOutcome.Answered)
--- a/apps/cherryhitch/src/lib/demo/percentile.ts
+++ b/apps/cherryhitch/src/lib/demo/percentile.ts
@@ -5,7 +5,7 @@
   return sorted[index] ?? 0
 }
 
-/** 0 without samples. @internal */
+/** Arithmetic mean; 0 without samples. @internal */
 export function mean(samples: readonly number[]): number {
   if (samples.length === 0) return 0
   return samples.reduce((sum, sample) => sum + sample, 0) / samples.length
--- a/apps/cherryhitch/src/lib/demo/runDemo.ts
+++ b/apps/cherryhitch/src/lib/demo/runDemo.ts
@@ -28,11 +28,11 @@
 
 const { kitaura } = deployments
 const VOTERS = 3
-const SETTLE_POLL_MS = 50
+const READY_POLL_MS = 50
 const LOOPBACK = '127.0.0.1'
 
-/** The system, its stand-ins and their ledgers. */
-interface DemoBench {
+/** The instances, their stand-in endpoints and callers, and the ledgers of both. */
+interface DemoSystem {
   readonly instances: readonly Instance[]
   readonly endpointLedger: EndpointLedger
   readonly callerLedger: CallerLedger
@@ -43,36 +43,39 @@
  * Runs the Kitaura deployment in this process: seven instances, 33 stand-in endpoints, and jobs
  * through the real HTTP path.
  *
- * @param say - told what happens, a short sentence at a time
+ * @param log - receives a line for each step of the demo
  * @public
  */
 export function runDemo(
   options: DemoOptions,
-  say: (line: string) => void,
+  log: (line: string) => void,
 ): Effect.Effect<DemoReport, InstanceError> {
   return Effect.scoped(
     Effect.gen(function* () {
-      say(`starting ${kitaura.instances} instances and ${kitaura.workers} endpoints`)
-      const bench = yield* startBench()
-      yield* awaitEndpoints(bench.instances)
-      say(`${options.wideJobs} jobs of 100 tasks, one after the other`)
-      const wide = yield* runInTurn(
-        bench.pool,
+      log(`starting ${kitaura.instances} instances and ${kitaura.workers} endpoints`)
+      const system = yield* startSystem()
+      yield* awaitEndpoints(system.instances)
+      log(`${options.wideJobs} jobs of 100 tasks, one after the other`)
+      const wide = yield* runSequentially(
+        system.pool,
         wideJobs(kitaura.service, options.wideJobs, options.seed),
       )
-      say(`${options.shortJobs} jobs of one task, one after the other`)
-      const short = yield* runInTurn(bench.pool, shortJobs(kitaura.service, options.shortJobs))
-      say(
+      log(`${options.shortJobs} jobs of one task, one after the other`)
+      const short = yield* runSequentially(
+        system.pool,
+        shortJobs(kitaura.service, options.shortJobs),
+      )
+      log(
         `mixed load on ${Math.round(options.busyShare * 100)} % of the slots for ${options.loadMs / 1000} s`,
       )
       const load = mixedLoad(options)
-      yield* bench.pool.play(load)
-      return makeReport(bench, wide, short, load)
+      yield* system.pool.play(load)
+      return makeReport(system, wide, short, load)
     }),
   )
 }
 
-function startBench(): Effect.Effect<DemoBench, InstanceError, Scope.Scope> {
+function startSystem(): Effect.Effect<DemoSystem, InstanceError, Scope.Scope> {
   return Effect.gen(function* () {
     const placed = placeInstances(kitaura)
     const voterOf = firstOfEachZone(placed.map(({ zone }) => zone))
@@ -94,24 +97,24 @@
   })
 }
 
-/** One voter in each availability zone: the loss of a zone keeps the quorum. */
+/** Picks one voter in each availability zone, so that the quorum survives the loss of a zone. */
 function firstOfEachZone(zones: readonly string[]): ReadonlySet<number> {
   const first = zones.map((zone, index) => (zones.indexOf(zone) === index ? index : -1))
   return new Set(first.filter((index) => index >= 0).slice(0, VOTERS))
 }
 
-/** Waits until every instance knows every slot. */
+/** Waits until every instance knows all slots. */
 function awaitEndpoints(instances: readonly Instance[]): Effect.Effect<void> {
   const knowsAll = (instance: Instance): boolean => {
     const offers = instance.members().flatMap(({ services }) => services)
     return offers.reduce((slots, offer) => slots + offer.slots, 0) >= totalSlots(kitaura)
   }
   return Effect.gen(function* () {
-    while (!instances.every(knowsAll)) yield* Effect.sleep(SETTLE_POLL_MS)
+    while (!instances.every(knowsAll)) yield* Effect.sleep(READY_POLL_MS)
   })
 }
 
-function runInTurn(
+function runSequentially(
   pool: CallerPool,
   jobs: readonly JobRequest[],
 ): Effect.Effect<readonly (readonly [JobRequest, CallerAttempt])[]> {
@@ -138,12 +141,12 @@
 }
 
 function makeReport(
-  bench: DemoBench,
+  system: DemoSystem,
   wide: readonly (readonly [JobRequest, CallerAttempt])[],
   short: readonly (readonly [JobRequest, CallerAttempt])[],
   load: readonly JobRequest[],
 ): DemoReport {
-  const { endpointLedger, callerLedger } = bench
+  const { endpointLedger, callerLedger } = system
   const wideRatios = wide.map(([job, attempt]) => responseMs(attempt) / longestPath(job, 0))
   const added = short.map(([job, attempt]) => responseMs(attempt) - longestPath(job, 0))
   const loadRatios = ratiosToIdeal(load, callerLedger)
--- a/apps/cherryhitch/src/lib/instance/DrainSignal.ts
+++ b/apps/cherryhitch/src/lib/instance/DrainSignal.ts
@@ -1,9 +1,9 @@
 import { Deferred, Effect } from 'effect'
 
-/** Set once, when a part has finished its work in progress. @internal */
+/** A one-time signal that a part has finished its work in progress. @internal */
 export interface DrainSignal {
   readonly set: () => void
-  /** Ends when the signal is set. */
+  /** Completes when the signal is set. */
   readonly wait: Effect.Effect<boolean>
 }
 
--- a/apps/cherryhitch/src/lib/instance/EnvelopeRouter.ts
+++ b/apps/cherryhitch/src/lib/instance/EnvelopeRouter.ts
@@ -3,7 +3,7 @@
 import type { OwnerMessage } from '@cherryhitch/owner'
 import type { Envelope, EnvelopeBody, InstanceHeartbeat } from '@cherryhitch/protocol'
 
-/** The parts that take messages of other instances. @internal */
+/** The parts that receive messages from other instances. @internal */
 export interface EnvelopeReceivers {
   readonly toOwner: (from: string, message: OwnerMessage) => void
   readonly toCoordinator: (from: string, message: CoordinatorMessage) => void
@@ -11,9 +11,9 @@
   readonly toControl: (from: string, boot: number, body: EnvelopeBody) => void
 }
 
-/** Hands each envelope to the part that it concerns. @internal */
+/** Routes each envelope to the part that handles it. @internal */
 export class EnvelopeRouter {
-  /** Envelopes without a known body: a newer version sent them. */
+  /** Number of envelopes without a known body, as sent by a newer version. */
   unknownEnvelopes = 0
 
   constructor(private readonly receivers: EnvelopeReceivers) {}
@@ -52,7 +52,7 @@
       case 'startElection':
         this.receivers.toControl(from, boot, body)
         return
-      // Messages of dispatching instances, which this kind of instance does not take part in.
+      // Messages between dispatching instances, which this kind of instance does not handle.
       case 'announceInstance':
       case 'instanceDirectory':
       case 'endpointNotices':
--- a/apps/cherryhitch/src/lib/instance/Instance.ts
+++ b/apps/cherryhitch/src/lib/instance/Instance.ts
@@ -17,13 +17,13 @@
 import type { InstanceInterfaces } from './startInterfaces'
 import type { MembershipPart } from './startMembership'
 
-/** How long the last messages may take to get their receipts. */
-const LAST_MESSAGES_MS = 1000
-/** An owner that has drained still answers questions about tasks that moved on, in milliseconds. */
+/** How long to wait for the receipts of the last messages. */
+const LINK_DRAIN_LIMIT_MS = 1000
+/** After draining, the owner answers queries about tasks it has handed over for this long. */
 const LINGER_MS = 300
 
-/** What an instance is made of once everything has started. @internal */
-export interface InstanceContent {
+/** The started parts of an instance, and the values they share. @internal */
+export interface InstanceComponents {
   readonly instance: string
   readonly boot: number
   readonly timing: InstanceTiming
@@ -40,7 +40,7 @@
   readonly log: (line: string) => void
 }
 
-/** Ports that an instance listens on. @public */
+/** The ports that an instance listens on. @public */
 export interface InstancePorts {
   readonly callers: number
   readonly endpoints: number
@@ -50,31 +50,31 @@
 
 /** How a drain ended. @public */
 export enum DrainEnd {
-  /** Everything in progress was finished. */
+  /** All work in progress was finished. */
   Complete = 'complete',
-  /** The limit came first; the log says what was cut. */
+  /** The time limit was reached first; the log says how many jobs were cut off. */
   CutOff = 'cut_off',
 }
 
 /**
- * One running instance. It ends with its scope; `drain` goes before that.
+ * A running instance. It stops when its scope closes; call `drain` before that.
  *
  * @public
  */
 export class Instance {
   /** @internal */
-  constructor(private readonly content: InstanceContent) {}
+  constructor(private readonly components: InstanceComponents) {}
 
   get name(): string {
-    return this.content.instance
+    return this.components.instance
   }
 
   get phase(): InstancePhase {
-    return this.content.readiness.current
+    return this.components.readiness.current
   }
 
   get ports(): InstancePorts {
-    const { interfaces, links } = this.content
+    const { interfaces, links } = this.components
     return {
       callers: interfaces.callers.port,
       endpoints: interfaces.endpoints.port,
@@ -84,22 +84,22 @@
   }
 
   get control(): ControlNode {
-    return this.content.control
+    return this.components.control
   }
 
-  /** Tells where the other instances listen, when the settings could not. */
+  /** Sets the addresses of the other instances, for ports that are only known after the start. */
   setPeers(peers: readonly LinkPeer[]): void {
-    this.content.links.setPeers(peers)
+    this.components.links.setPeers(peers)
   }
 
-  /** The instances as this one sees them. */
+  /** All instances, as this one sees them. */
   members(): readonly InstanceView[] {
-    return this.content.members()
+    return this.components.members()
   }
 
-  /** What each part has counted. */
+  /** The counters of each part. */
   counters(): Readonly<Record<string, Readonly<Record<string, number>>>> {
-    const { links, owner, coordinator, membership, control, interfaces } = this.content
+    const { links, owner, coordinator, membership, control, interfaces } = this.components
     return {
       links: { ...links.counters() },
       owner: { ...owner.counters() },
@@ -113,19 +113,19 @@
   }
 
   jobsInFlight(): number {
-    return this.content.coordinator.jobsInFlight()
+    return this.components.coordinator.jobsInFlight()
   }
 
   /**
-   * Takes the instance out of service without cutting off a request: readiness goes off, the
-   * balancer gets time to see it, endpoints are handed over, and work in progress ends.
+   * Takes the instance out of service without cutting off a request: turns readiness off, gives the
+   * load balancer time to see it, hands endpoints over, and waits for work in progress to finish.
    */
   drain(): Effect.Effect<DrainEnd> {
-    const { readiness, timing, log } = this.content
+    const { readiness, timing, log } = this.components
     return Effect.gen({ self: this }, function* () {
       if (readiness.current === InstancePhase.Draining) return DrainEnd.Complete
       readiness.enter(InstancePhase.Announcing)
-      // Callers then open their next connection through the balancer, which goes elsewhere.
+      // Callers then reconnect through the load balancer, which picks another instance.
       for (const server of this.servers()) server.closeAfterAnswers()
       log(`readiness is off, draining starts in ${timing.balancerDelayMs} ms`)
       yield* Effect.sleep(timing.balancerDelayMs)
@@ -143,28 +143,28 @@
   }
 
   private startDraining(): void {
-    const { membership, owner, coordinator, log } = this.content
+    const { membership, owner, coordinator, log } = this.components
     log('draining')
-    this.content.interfaces.callers.stopAccepting()
+    this.components.interfaces.callers.stopAccepting()
     membership.tell({ kind: MembershipEventKind.LocalState, state: InstanceState.DRAINING })
     coordinator.tell({ kind: CoordinatorEventKind.Drain })
     owner.tell({ kind: OwnerEventKind.Drain })
   }
 
-  /** The last reports and answers still have to leave the process. */
+  /** Waits until work in progress is done and the last reports and answers are sent. */
   private awaitDrained(): Effect.Effect<void> {
-    const { ownerDrained, coordinatorDrained, interfaces, links } = this.content
+    const { ownerDrained, coordinatorDrained, interfaces, links } = this.components
     return Effect.gen(function* () {
       yield* coordinatorDrained.wait
       yield* ownerDrained.wait
       yield* interfaces.callers.whenIdle
-      yield* links.drain(LAST_MESSAGES_MS)
+      yield* links.drain(LINK_DRAIN_LIMIT_MS)
       yield* Effect.sleep(LINGER_MS)
     })
   }
 
   private servers(): readonly HttpServer[] {
-    const { callers, endpoints, operators } = this.content.interfaces
+    const { callers, endpoints, operators } = this.components.interfaces
     return [callers, endpoints, operators]
   }
 }
--- a/apps/cherryhitch/src/lib/instance/InstanceEndpoints.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceEndpoints.ts
@@ -7,7 +7,7 @@
 import { envelope } from '@cherryhitch/protocol'
 import { Effect } from 'effect'
 
-/** What the endpoint interface needs of its instance. @internal */
+/** Dependencies of the endpoint interface. @internal */
 export interface InstanceEndpointsOptions {
   readonly instance: string
   readonly owner: OwnerPart
@@ -17,8 +17,8 @@
 }
 
 /**
- * Takes heartbeats. One that belongs to another instance is passed on to it as well, so that
- * `leaving` takes effect whichever instance heard it first.
+ * Handles heartbeats of endpoints. The heartbeat of an endpoint that another instance owns is
+ * forwarded to that instance, so that `leaving` takes effect whichever instance received it.
  *
  * @internal
  */
@@ -33,27 +33,27 @@
 
   private takeHeartbeat(announcement: EndpointAnnouncement): HeartbeatReply {
     const { instance, owner, send, heartbeatMs } = this.options
-    const home = this.pickHome(announcement)
-    if (home.instance === instance) {
+    const target = this.chooseTarget(announcement)
+    if (target.instance === instance) {
       owner.tell({ kind: OwnerEventKind.Heartbeat, announcement })
     } else {
-      send(home.instance, envelope({ case: 'forwardHeartbeat', value: { announcement } }))
+      send(target.instance, envelope({ case: 'forwardHeartbeat', value: { announcement } }))
     }
     return {
-      owner: home.instance,
-      ownerAddress: home.endpointAddress,
+      owner: target.instance,
+      ownerAddress: target.endpointAddress,
       nextHeartbeatMs: heartbeatMs,
     }
   }
 
-  /** The owner, or this instance while none is known: heartbeats must never stop. */
-  private pickHome({ endpoint, service, zone }: EndpointAnnouncement): InstanceView {
+  /** The owner, or this instance while none is known, so that every heartbeat gets an answer. */
+  private chooseTarget({ endpoint, service, zone }: EndpointAnnouncement): InstanceView {
     const members = this.options.members()
     const ownerName = this.options.owner.ownerOf(endpoint, service, zone)
     const self = members.find((member) => member.self)
     const found = members.find((member) => member.instance === ownerName)
-    const home = found ?? self
-    if (home === undefined) throw new Error('the view of members lacks this instance')
-    return home
+    const target = found ?? self
+    if (target === undefined) throw new Error('the view of members lacks this instance')
+    return target
   }
 }
--- a/apps/cherryhitch/src/lib/instance/InstanceJobs.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceJobs.ts
@@ -4,7 +4,7 @@
 import type { JobAnswer, JobSpec } from '@cherryhitch/protocol'
 import type { Effect } from 'effect'
 
-/** The caller interface's way to the coordinator. @internal */
+/** Connects the caller interface to the coordinator. @internal */
 export class InstanceJobs extends JobService {
   constructor(private readonly coordinator: CoordinatorPart) {
     super()
--- a/apps/cherryhitch/src/lib/instance/InstanceOperators.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceOperators.ts
@@ -14,7 +14,7 @@
 } from '@cherryhitch/protocol'
 import { Effect } from 'effect'
 
-/** The parts that operators look into. @internal */
+/** The parts that the operator interface reads from. @internal */
 export interface InstanceOperatorsOptions {
   readonly instance: string
   readonly owner: OwnerPart
@@ -25,7 +25,7 @@
 
 const NO_AUDIT = -1
 
-/** The operator interface's way to the parts of this instance. @internal */
+/** Connects the operator interface to the parts of this instance. @internal */
 export class InstanceOperators extends OperatorService {
   constructor(private readonly parts: InstanceOperatorsOptions) {
     super()
@@ -64,7 +64,7 @@
   }
 }
 
-/** Before the first settings are known: version 0, no preset. */
+/** Returned until the first settings are known: version 0, no preset. */
 function unknownSettings(): SettingsStatus {
   return { settings: create(SettingsStateSchema), current: false }
 }
--- a/apps/cherryhitch/src/lib/instance/InstanceOptions.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceOptions.ts
@@ -2,14 +2,14 @@
 import type { Disk } from '@cherryhitch/storage'
 import type { InstanceTelemetry } from './InstanceTelemetry'
 
-/** Where an interface listens. Port 0 takes any free port. @public */
+/** Address that an interface listens on. Port 0 picks any free port. @public */
 export interface ListenAddress {
   readonly host: string
   readonly port: number
   readonly tls?: { readonly keyFile: string; readonly certFile: string }
 }
 
-/** Another instance, as the settings name it. @public */
+/** Another instance, as listed in the settings. @public */
 export interface PeerInstance {
   readonly instance: string
   readonly zone: string
@@ -18,21 +18,21 @@
   readonly voter: boolean
 }
 
-/** Times and limits that an instance keeps; milliseconds. @public */
+/** Intervals and timeouts of an instance, in milliseconds. @public */
 export interface InstanceTiming {
   readonly heartbeatMs: number
   readonly endpointTimeoutMs: number
   readonly leaseMs: number
   readonly instanceHeartbeatMs: number
   readonly instanceTimeoutMs: number
-  /** Readiness is off for this long before draining starts, so that the balancer has seen it. */
+  /** Delay between turning readiness off and draining, in which the load balancer sees it. */
   readonly balancerDelayMs: number
-  /** Draining is given up after this. */
+  /** Time limit for draining. */
   readonly drainLimitMs: number
   /** How long a starting instance waits for the settings in force before it serves. */
   readonly settingsWaitMs: number
   readonly partTickMs: number
-  /** Pace at which the offer is told to membership. */
+  /** Interval at which the free capacity of this instance is published to membership. */
   readonly offerMs: number
 }
 
@@ -54,18 +54,21 @@
 export interface InstanceOptions {
   readonly instance: string
   readonly zone: string
-  /** Rises with each start; the wall clock when it is left out. */
+  /** Has to rise with each start; defaults to the wall clock. */
   readonly boot?: number
   readonly callers: ListenAddress
   readonly endpoints: ListenAddress
   readonly operators: ListenAddress
   readonly instances: ListenAddress
   readonly peers: readonly PeerInstance[]
-  /** Set for a voter: the folder of its log. */
+  /** Set for a voter: the disk that holds its log. */
   readonly disk?: Disk
-  /** Make a new set of voters out of the instances that the settings name; for demos and tests. */
+  /** Initializes a new set of voters from the listed instances; for demos and tests. */
   readonly autoInit?: { readonly clusterId: string }
-  /** Secrets as read from their files; without them every interface is open, on loopback only. */
+  /**
+   * Secrets read from their files. Without them, the interfaces require no authentication, and
+   * listen on loopback only.
+   */
   readonly tokens?: Tokens
   readonly limits?: {
     readonly bodyBytes?: number
--- a/apps/cherryhitch/src/lib/instance/InstanceParts.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceParts.ts
@@ -9,8 +9,8 @@
 import type { MembershipPart } from './startMembership'
 
 /**
- * The parts of one instance. They start one after the other but call one another from the first
- * moment on, so each is reached through a reference that may not be set yet.
+ * The parts of one instance. They start one after the other but may call one another at any time,
+ * so each is accessed through a reference that may not be bound yet.
  *
  * @internal
  */
@@ -24,14 +24,14 @@
 
   constructor(readonly readiness: Readiness) {}
 
-  /** The newest view of the instances. */
+  /** The latest view of all instances. */
   readonly members = (): readonly InstanceView[] => this.view
 
   readonly setMembers = (members: readonly InstanceView[]): void => {
     this.view = members
   }
 
-  /** Sends to an instance, this one included; what can't be sent is counted by the links. */
+  /** Sends to an instance, including this one; the links count messages that can't be sent. */
   readonly send = (to: string, message: Envelope): void => {
     this.links.use((links) => {
       links.send(to, message)
--- a/apps/cherryhitch/src/lib/instance/InstanceTelemetry.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceTelemetry.ts
@@ -1,23 +1,23 @@
 import type { SpanRecord } from '@cherryhitch/model'
 
-/** Metrics in the format of the scraper. @public */
+/** Metrics in the text format of the scraper. @public */
 export interface MetricsText {
   readonly contentType: string
   readonly body: string
 }
 
-/** What an instance tells of itself: log lines, spans and counters. @public */
+/** Receives the log lines, spans and counters of an instance. @public */
 export abstract class InstanceTelemetry {
-  /** Logs a short sentence; its prefix is the part's name. */
+  /** Logs a line, prefixed with the name of the part. */
   abstract log(part: string, line: string): void
   abstract recordSpan(span: SpanRecord): void
-  /** Reads the counters of a part whenever metrics are asked for. */
+  /** Registers the counters of a part; `read` is called whenever metrics are rendered. */
   abstract registerCounters(part: string, read: () => Readonly<Record<string, number>>): void
   abstract renderMetrics(): Promise<MetricsText>
 }
 
-/** Tells nobody but a function for log lines: for demos and tests. @public */
-export class PlainTelemetry extends InstanceTelemetry {
+/** Passes log lines to a function and discards spans and metrics; for demos and tests. @public */
+export class LogOnlyTelemetry extends InstanceTelemetry {
   constructor(private readonly sink: (line: string) => void = () => undefined) {
     super()
   }
@@ -27,7 +27,7 @@
   }
 
   override recordSpan(): void {
-    // Spans are dropped.
+    // Spans are discarded.
   }
 
   override registerCounters(): void {
--- a/apps/cherryhitch/src/lib/instance/LateBound.ts
+++ b/apps/cherryhitch/src/lib/instance/LateBound.ts
@@ -1,6 +1,6 @@
 /**
- * A reference that is set once the thing it names has started. The parts of an instance need one
- * another, and one of them has to start first.
+ * A reference that is bound once its target has started. It breaks the cycle between the parts of
+ * an instance, which depend on one another but start one after the other.
  *
  * @internal
  */
@@ -11,7 +11,7 @@
     this.value = value
   }
 
-  /** Calls back when the reference is set, and does nothing before. */
+  /** Calls the action if the reference is bound; does nothing otherwise. */
   use(action: (value: T) => void): void {
     if (this.value !== undefined) action(this.value)
   }
--- a/apps/cherryhitch/src/lib/instance/Readiness.ts
+++ b/apps/cherryhitch/src/lib/instance/Readiness.ts
@@ -1,18 +1,18 @@
 import type { HealthSource } from '@cherryhitch/http-api'
 
-/** Where an instance stands between its start and its end. @public */
+/** Phase of an instance's lifecycle. @public */
 export enum InstancePhase {
   Starting = 'starting',
   Serving = 'serving',
-  /** Readiness is off; the balancer has not seen it yet, so work is still taken. */
+  /** Readiness is off; the load balancer may not have seen it yet, so work is still accepted. */
   Announcing = 'announcing',
   Draining = 'draining',
   Stopped = 'stopped',
-  /** A part has died of a defect; the process should be restarted. */
+  /** A part has failed with an unexpected error; the process should be restarted. */
   Broken = 'broken',
 }
 
-/** Answers the platform's health checks. @internal */
+/** Answers the platform's liveness and readiness checks. @internal */
 export class Readiness implements HealthSource {
   private phase = InstancePhase.Starting
 
--- a/apps/cherryhitch/src/lib/instance/StartContext.ts
+++ b/apps/cherryhitch/src/lib/instance/StartContext.ts
@@ -7,20 +7,20 @@
 import { defaultInstanceTiming } from './InstanceOptions'
 import { InstanceParts } from './InstanceParts'
 import { Readiness } from './Readiness'
-import { SettingsKeeper } from './SettingsKeeper'
+import { SettingsDistributor } from './SettingsDistributor'
 
-/** What the starting functions share. @internal */
+/** State shared by the functions that start the parts of an instance. @internal */
 export interface StartContext {
   readonly options: InstanceOptions
   readonly timing: InstanceTiming
   readonly boot: number
   readonly parts: InstanceParts
-  readonly settings: SettingsKeeper
+  readonly settings: SettingsDistributor
   readonly ownerDrained: DrainSignal
   readonly coordinatorDrained: DrainSignal
 }
 
-/** Logs with the prefix of a part. @internal */
+/** Returns a log function that prefixes lines with the name of a part. @internal */
 export function logOf(options: InstanceOptions, part: string): (line: string) => void {
   return (line) => {
     options.telemetry.log(part, line)
@@ -28,22 +28,23 @@
 }
 
 /** @internal */
-export function makeContext(options: InstanceOptions): StartContext {
+export function createStartContext(options: InstanceOptions): StartContext {
   const parts = new InstanceParts(new Readiness())
   return {
     options,
     timing: { ...defaultInstanceTiming, ...options.timing },
     boot: options.boot ?? Math.floor(systemClock.now()),
     parts,
-    settings: new SettingsKeeper(parts, logOf(options, 'settings')),
+    settings: new SettingsDistributor(parts, logOf(options, 'settings')),
     ownerDrained: makeDrainSignal(),
     coordinatorDrained: makeDrainSignal(),
   }
 }
 
-/** In force until the voters' settings are known. @internal */
-export function firstPreset(): PresetDefinition {
+/** The preset to use until the voters' settings are known. @internal */
+export function initialPreset(): PresetDefinition {
   const ordinary = shippedPresets.find(({ name }) => name === (PresetName.Ordinary as string))
-  if (ordinary === undefined) throw new Error('the ordinary preset is not shipped')
+  if (ordinary === undefined)
+    throw new Error('the ordinary preset is missing from the shipped presets')
   return ordinary
 }
--- a/apps/cherryhitch/src/lib/instance/becomeReady.ts
+++ b/apps/cherryhitch/src/lib/instance/becomeReady.ts
@@ -11,7 +11,8 @@
 const SETTINGS_POLL_MS = 50
 
 /**
- * Ready means that the settings in force are known, or that no quorum could be reached for them.
+ * Marks the instance as ready once the settings in force are known, or after `settingsWaitMs` if no
+ * quorum has confirmed them by then.
  *
  * @internal
  */
@@ -25,7 +26,7 @@
     const startedAt = systemClock.now()
     while (control.settings()?.current !== true) {
       if (systemClock.now() - startedAt >= timing.settingsWaitMs) {
-        log('no quorum confirms the settings, serving under the newest known ones')
+        log('no quorum confirmed the settings in time; serving with the newest known version')
         break
       }
       yield* Effect.sleep(SETTINGS_POLL_MS)
--- a/apps/cherryhitch/src/lib/instance/claimThrough.ts
+++ b/apps/cherryhitch/src/lib/instance/claimAndReport.ts
@@ -6,12 +6,12 @@
 import { Effect } from 'effect'
 
 /**
- * Claims a key and tells the coordinator what came of it: granted or held, truly not claimed, or
- * not known.
+ * Claims a submission key and reports the result to the coordinator: the answer, granted or held; a
+ * failure, in which the key was certainly not claimed; or an unknown outcome.
  *
  * @internal
  */
-export function claimThrough(
+export function claimAndReport(
   control: ControlNode,
   claim: KeyClaim,
   tell: (event: CoordinatorEvent) => void,
--- a/apps/cherryhitch/src/lib/instance/httpCounters.ts
+++ b/apps/cherryhitch/src/lib/instance/httpCounters.ts
@@ -1,6 +1,6 @@
 import type { HttpServer } from '@cherryhitch/http-api'
 
-/** What an HTTP server has counted, with a number for each status it answered. @internal */
+/** The counters of an HTTP server, with one counter for each status code it returned. @internal */
 export function httpCounters(server: HttpServer): Readonly<Record<string, number>> {
   const { answers, ...totals } = server.counters()
   const byStatus = [...answers].map(([status, count]) => [`answers_${status}`, count] as const)
--- a/apps/cherryhitch/src/lib/instance/offers.ts
+++ b/apps/cherryhitch/src/lib/instance/offers.ts
@@ -3,8 +3,8 @@
 import type { Scope } from 'effect'
 import type { StartContext } from './StartContext'
 
-/** Tells membership what this instance offers; urgently when it changed much. @internal */
-export function tellOffer({ parts, settings }: StartContext, urgent: boolean): void {
+/** Publishes this instance's capacity to membership; urgently after a large change. @internal */
+export function publishOffer({ parts, settings }: StartContext, urgent: boolean): void {
   parts.owner.use((owner) => {
     parts.coordinator.use((coordinator) => {
       parts.membership.use((membership) => {
@@ -20,7 +20,7 @@
   })
 }
 
-function tellRoundTrips({ parts, options }: StartContext): void {
+function publishRoundTrips({ parts, options }: StartContext): void {
   parts.links.use((links) => {
     parts.membership.use((membership) => {
       for (const { instance: peer } of options.peers) {
@@ -31,12 +31,14 @@
   })
 }
 
-/** Tells membership at a steady pace what this instance offers. @internal */
-export function startOffers(context: StartContext): Effect.Effect<void, never, Scope.Scope> {
-  const tell = Effect.sync(() => {
-    tellRoundTrips(context)
-    tellOffer(context, false)
+/** Publishes round-trip times and the capacity of this instance at a fixed interval. @internal */
+export function startPublishingOffers(
+  context: StartContext,
+): Effect.Effect<void, never, Scope.Scope> {
+  const publish = Effect.sync(() => {
+    publishRoundTrips(context)
+    publishOffer(context, false)
   })
-  const repeated = Effect.repeat(tell, Schedule.spaced(context.timing.offerMs))
+  const repeated = Effect.repeat(publish, Schedule.spaced(context.timing.offerMs))
   return Effect.asVoid(Effect.forkScoped(repeated))
 }
--- a/apps/cherryhitch/src/lib/instance/startCoordinatorPart.ts
+++ b/apps/cherryhitch/src/lib/instance/startCoordinatorPart.ts
@@ -3,11 +3,11 @@
 import type { KeyClaim } from '@cherryhitch/protocol'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
-import { claimThrough } from './claimThrough'
+import { claimAndReport } from './claimAndReport'
 import type { InstanceParts } from './InstanceParts'
 import { InstancePhase } from './Readiness'
 import type { StartContext } from './StartContext'
-import { firstPreset, logOf } from './StartContext'
+import { initialPreset, logOf } from './StartContext'
 
 /** @internal */
 export function startCoordinatorPart(
@@ -22,7 +22,7 @@
     instance,
     zone,
     boot,
-    preset: firstPreset(),
+    preset: initialPreset(),
     callerWeights,
     timing: { leaseMs: timing.leaseMs },
     send: parts.send,
@@ -55,7 +55,7 @@
 function claimKey(parts: InstanceParts, claim: KeyClaim): void {
   parts.control.use((control) => {
     parts.coordinator.use((coordinator) => {
-      Effect.runFork(claimThrough(control, claim, coordinator.tell))
+      Effect.runFork(claimAndReport(control, claim, coordinator.tell))
     })
   })
 }
--- a/apps/cherryhitch/src/lib/instance/startInstance.ts
+++ b/apps/cherryhitch/src/lib/instance/startInstance.ts
@@ -11,9 +11,9 @@
 import { InstanceJobs } from './InstanceJobs'
 import { InstanceOperators } from './InstanceOperators'
 import type { InstanceOptions } from './InstanceOptions'
-import { startOffers } from './offers'
+import { startPublishingOffers } from './offers'
 import type { StartContext } from './StartContext'
-import { logOf, makeContext } from './StartContext'
+import { logOf, createStartContext } from './StartContext'
 import { startControlPart } from './startControlPart'
 import { startCoordinatorPart } from './startCoordinatorPart'
 import type { InstanceInterfaces } from './startInterfaces'
@@ -22,13 +22,13 @@
 import { startMembershipPart } from './startMembershipPart'
 import { startOwnerPart } from './startOwnerPart'
 
-/** Why an instance could not start. @public */
+/** Reasons why an instance could not start. @public */
 export type InstanceError = ControlError | HttpServerError | LinkError
 
 /**
- * Starts one instance: its parts first, its links next, its interfaces last, so that nobody is
- * let in before someone can answer. It is ready once the settings in force are known, or after
- * a while without them when no quorum can be reached.
+ * Starts one instance: the parts first, then the links, the interfaces last, so that no request is
+ * accepted before it can be answered. The instance is ready once the settings in force are known,
+ * or after `settingsWaitMs` if no quorum can be reached.
  *
  * @public
  */
@@ -36,7 +36,7 @@
   options: InstanceOptions,
 ): Effect.Effect<Instance, InstanceError, Scope.Scope> {
   return Effect.gen(function* () {
-    const context = makeContext(options)
+    const context = createStartContext(options)
     const { parts, timing, boot } = context
     const owner = yield* startOwnerPart(context)
     const coordinator = yield* startCoordinatorPart(context)
@@ -44,9 +44,9 @@
     const links = yield* startLinks(context)
     const interfaces = yield* openInterfaces(context, owner, coordinator, control)
     const membership = yield* startMembershipPart(context, interfaces)
-    yield* startOffers(context)
+    yield* startPublishingOffers(context)
     const { ownerDrained, coordinatorDrained } = context
-    const content = {
+    const components = {
       instance: options.instance,
       boot,
       timing,
@@ -62,7 +62,7 @@
       members: parts.members,
       log: logOf(options, 'instance'),
     }
-    const instance = new Instance(content)
+    const instance = new Instance(components)
     registerMetrics(options, instance)
     yield* Effect.forkScoped(becomeReady(context, control, membership))
     return instance
--- a/apps/cherryhitch/src/lib/instance/startInterfaces.ts
+++ b/apps/cherryhitch/src/lib/instance/startInterfaces.ts
@@ -24,7 +24,7 @@
   readonly operators: HttpServer
 }
 
-/** What stands behind the servers. @internal */
+/** The services that handle the servers' requests. @internal */
 export interface InterfaceServices {
   readonly jobs: JobService
   readonly endpoints: EndpointService
--- a/apps/cherryhitch/src/lib/instance/startMembership.ts
+++ b/apps/cherryhitch/src/lib/instance/startMembership.ts
@@ -8,7 +8,7 @@
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 
-/** What membership needs of its instance. @internal */
+/** Options and callbacks of the membership part. @internal */
 export interface StartMembershipOptions extends MembershipOptions {
   readonly tickMs: number
   readonly send: (to: string, message: Envelope) => void
@@ -17,12 +17,12 @@
   readonly log: (line: string) => void
 }
 
-/** A running membership. @internal */
+/** The running membership part. @internal */
 export interface MembershipPart extends Part<MembershipEvent> {
   readonly counters: () => Readonly<Record<string, number>>
 }
 
-/** Starts the fiber that judges which instances live. @internal */
+/** Starts the fiber that detects which instances are alive. @internal */
 export function startMembership(
   options: StartMembershipOptions,
 ): Effect.Effect<MembershipPart, never, Scope.Scope> {
--- a/apps/cherryhitch/src/lib/instance/startMembershipPart.ts
+++ b/apps/cherryhitch/src/lib/instance/startMembershipPart.ts
@@ -28,11 +28,11 @@
     tickMs: timing.partTickMs,
     send: parts.send,
     onView: (members) => {
-      spreadView(context, members)
+      distributeView(context, members)
     },
     onDefect: (defect) => {
       parts.readiness.enter(InstancePhase.Broken)
-      log(`stopped by a defect: ${String(defect)}`)
+      log(`stopped by an unexpected error: ${String(defect)}`)
     },
     log,
   })
@@ -43,7 +43,7 @@
   )
 }
 
-function spreadView({ parts, options }: StartContext, members: readonly InstanceView[]): void {
+function distributeView({ parts, options }: StartContext, members: readonly InstanceView[]): void {
   parts.setMembers(members)
   parts.owner.use((owner) => {
     owner.tell({ kind: OwnerEventKind.Members, members })
--- a/apps/cherryhitch/src/lib/instance/startOwnerPart.ts
+++ b/apps/cherryhitch/src/lib/instance/startOwnerPart.ts
@@ -2,10 +2,10 @@
 import { startOwner } from '@cherryhitch/owner'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
-import { tellOffer } from './offers'
+import { publishOffer } from './offers'
 import { InstancePhase } from './Readiness'
 import type { StartContext } from './StartContext'
-import { firstPreset, logOf } from './StartContext'
+import { initialPreset, logOf } from './StartContext'
 
 /** @internal */
 export function startOwnerPart(
@@ -18,12 +18,12 @@
     instance,
     zone,
     boot,
-    preset: firstPreset(),
+    preset: initialPreset(),
     timing: { heartbeatMs, endpointTimeoutMs, leaseMs },
     ...(tokens === undefined ? {} : { client: { token: tokens.endpoints } }),
     send: parts.send,
     onSummaryChanged: () => {
-      tellOffer(context, true)
+      publishOffer(context, true)
     },
     onSpan: (span) => {
       telemetry.recordSpan(span)
--- a/apps/cherryhitch/src/lib/serve/ServedTelemetry.ts
+++ b/apps/cherryhitch/src/lib/serve/ServedTelemetry.ts
@@ -3,7 +3,7 @@
 import type { MetricsText } from '../instance/InstanceTelemetry'
 import { InstanceTelemetry } from '../instance/InstanceTelemetry'
 
-/** Logs, metrics and traces of a daemon. @internal */
+/** Logs, metrics and traces of the daemon. @internal */
 export class ServedTelemetry extends InstanceTelemetry {
   constructor(
     private readonly logger: Logger,
--- a/apps/cherryhitch/src/lib/serve/awaitSignal.ts
+++ b/apps/cherryhitch/src/lib/serve/awaitSignal.ts
@@ -2,7 +2,7 @@
 
 const signals = ['SIGTERM', 'SIGINT'] as const
 
-/** Ends with the first SIGTERM or SIGINT. @internal */
+/** Completes with the name of the first SIGTERM or SIGINT received. @internal */
 export const awaitSignal: Effect.Effect<string> = Effect.callback((resume) => {
   const stops = signals.map((signal) => {
     const listen = (): void => {
--- a/apps/cherryhitch/src/lib/serve/openTelemetry.ts
+++ b/apps/cherryhitch/src/lib/serve/openTelemetry.ts
@@ -8,7 +8,7 @@
 import type { InstanceTelemetry } from '../instance/InstanceTelemetry'
 import { ServedTelemetry } from './ServedTelemetry'
 
-/** Opens logs, metrics and traces as the settings ask for them. @internal */
+/** Opens logs, metrics and traces according to the settings. @internal */
 export function openTelemetry(
   settings: Settings,
 ): Effect.Effect<InstanceTelemetry, TelemetryError, Scope.Scope> {
@@ -25,7 +25,7 @@
   })
 }
 
-/** The program logs on four levels; the settings know those of bunyan. */
+/** Maps the six log levels of the settings, those of bunyan, to the four used internally. */
 function toLogLevel(level: SettingsLevel): LogLevel {
   switch (level) {
     case SettingsLevel.Trace:
--- a/apps/cherryhitch/src/lib/serve/serve.ts
+++ b/apps/cherryhitch/src/lib/serve/serve.ts
@@ -32,14 +32,14 @@
     const instance = yield* startInstance(options)
     const signal = yield* Effect.raceFirst(awaitSignal, awaitDefect(instance))
     telemetry.log('instance', `${signal} received`)
-    const hurried = Effect.map(awaitSignal, (again) => {
+    const forcedEnd = Effect.map(awaitSignal, (again) => {
       telemetry.log(
         'instance',
-        `${again} received again, ${instance.jobsInFlight()} jobs are cut off`,
+        `${again} received during the drain; ${instance.jobsInFlight()} jobs are cut off`,
       )
       return DrainEnd.CutOff
     })
-    return yield* Effect.raceFirst(instance.drain(), hurried)
+    return yield* Effect.raceFirst(instance.drain(), forcedEnd)
   })
   return Effect.scoped(running)
 }
@@ -49,10 +49,12 @@
   return Effect.map(openDataFolder(settings.dataFolder), ({ disk }) => disk)
 }
 
-/** Ends when a part has died: the process must then end too, so that the platform restarts it. */
+/** Dies once a part has failed, which ends the process so that the platform restarts it. */
 function awaitDefect(instance: Instance): Effect.Effect<never> {
   return Effect.gen(function* () {
     while (instance.phase !== InstancePhase.Broken) yield* Effect.sleep(DEFECT_POLL_MS)
-    return yield* Effect.die(new Error('a part of the instance died of a defect; see the log'))
+    return yield* Effect.die(
+      new Error('a part of the instance failed with an unexpected error; see the log'),
+    )
   })
 }
--- a/apps/cherryhitch/src/lib/serve/toInstanceOptions.ts
+++ b/apps/cherryhitch/src/lib/serve/toInstanceOptions.ts
@@ -3,17 +3,17 @@
 import type { InstanceOptions } from '../instance/InstanceOptions'
 import type { InstanceTelemetry } from '../instance/InstanceTelemetry'
 
-/** What an instance needs besides its settings. @internal */
-export interface InstanceSurroundings {
+/** Dependencies of an instance besides its settings. @internal */
+export interface InstanceDependencies {
   readonly tokens: Tokens | undefined
   readonly disk: Disk | undefined
   readonly telemetry: InstanceTelemetry
 }
 
-/** Turns the settings of an instance into the options that start it. @internal */
+/** Converts the settings of an instance to the options of `startInstance`. @internal */
 export function toInstanceOptions(
   settings: Settings,
-  { tokens, disk, telemetry }: InstanceSurroundings,
+  { tokens, disk, telemetry }: InstanceDependencies,
 ): InstanceOptions {
   const { instance, zone, interfaces, peers, limits, timing } = settings
   return {
--- a/apps/cherryhitch/src/main.ts
+++ b/apps/cherryhitch/src/main.ts
@@ -1,4 +1,4 @@
-/** The program: runs one command line and exits with its code. */
+/** Entry point of the program: runs one command line and exits with its exit code. */
 import { processIo } from './lib/cli/CliIo'
 import { runCli } from './lib/cli/runCli'
 
