--- a/packages/coordinator/src/lib/PolicyBook.ts
+++ b/packages/coordinator/src/lib/ActivePolicies.ts
@@ -8,7 +8,7 @@
 import type { PresetDefinition } from '@cherryhitch/protocol'
 
 /** The policies of the preset in force. @internal */
-export class PolicyBook {
+export class ActivePolicies {
   /** What was learned of run times outlives a change of preset. */
   readonly estimator = createRunTimeEstimator()
   router: OwnerRouter
--- a/packages/coordinator/src/lib/CoordinatorContext.ts
+++ b/packages/coordinator/src/lib/CoordinatorContext.ts
@@ -1,16 +1,16 @@
-import type { AnswerBook } from './answers/AnswerBook'
+import type { AnswerCache } from './answers/AnswerCache'
 import type { CoordinatorCounters } from './CoordinatorCounters'
 import type { CoordinatorLimits, CoordinatorOptions, CoordinatorTiming } from './CoordinatorOptions'
 import type { JobBook } from './jobs/JobBook'
 import type { Replies } from './jobs/Replies'
 import type { RequestBook } from './jobs/RequestBook'
 import type { KeyBook } from './keys/KeyBook'
-import type { MemberBook } from './members/MemberBook'
+import type { MemberTable } from './members/MemberTable'
 import type { Outbox } from './Outbox'
 import type { TasksByOwner } from './placement/TasksByOwner'
-import type { PolicyBook } from './PolicyBook'
+import type { ActivePolicies } from './ActivePolicies'
 import type { DueItem } from './timers/DueItem'
-import type { DueWheel } from './timers/DueWheel'
+import type { TimerWheel } from './timers/TimerWheel'
 
 /** What the managers of one coordinator share. @internal */
 export interface CoordinatorContext {
@@ -19,13 +19,13 @@
   readonly timing: CoordinatorTiming
   readonly counters: CoordinatorCounters
   readonly outbox: Outbox
-  readonly policies: PolicyBook
-  readonly members: MemberBook
+  readonly policies: ActivePolicies
+  readonly members: MemberTable
   readonly jobs: JobBook
   readonly keys: KeyBook
-  readonly answers: AnswerBook
+  readonly answers: AnswerCache
   readonly requests: RequestBook
   readonly replies: Replies
   readonly inFlight: TasksByOwner
-  readonly due: DueWheel<DueItem>
+  readonly due: TimerWheel<DueItem>
 }
--- a/packages/coordinator/src/lib/CoordinatorMachine.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.ts
@@ -19,7 +19,7 @@
 import { problem, runningAnswer } from './jobs/jobAnswers'
 import { localWaiter, remoteWaiter } from './jobs/Waiter'
 import { ClaimDesk } from './keys/ClaimDesk'
-import { KeyDesk } from './keys/KeyDesk'
+import { KeyedJobHandler } from './keys/KeyedJobHandler'
 import { MemberChangeKind } from './members/MemberChange'
 import { LossWatch } from './placement/LossWatch'
 import { ReportDesk } from './placement/ReportDesk'
@@ -37,17 +37,17 @@
 /** Coordinates the jobs of one instance: a thin host over the managers of its areas. @public */
 export class CoordinatorMachine extends Machine<CoordinatorEvent, CoordinatorAction> {
   private readonly context: CoordinatorContext
-  private readonly ending: JobEnding
-  private readonly desk: JobDesk
-  private readonly keyed: KeyDesk
+  private readonly completion: JobEnding
+  private readonly jobIntake: JobDesk
+  private readonly keyedJobs: KeyedJobHandler
   private readonly claims: ClaimDesk
   private readonly queries: QueryDesk
   private readonly forwarding: Forwarding
   private readonly retries: Retries
   private readonly reports: ReportDesk
-  private readonly losses: LossWatch
-  private readonly keeper: AnswerKeeper
-  private saidDrained = false
+  private readonly lossDetector: LossWatch
+  private readonly answerRecorder: AnswerKeeper
+  private reportedDrained = false
 
   constructor(options: CoordinatorOptions) {
     super()
@@ -55,19 +55,19 @@
     const flight = new TaskFlight(this.context)
     const placement = new TaskPlacement(this.context, flight)
     const ending = new JobEnding(this.context, flight)
-    this.ending = ending
-    this.desk = new JobDesk(this.context, placement, ending)
+    this.completion = ending
+    this.jobIntake = new JobDesk(this.context, placement, ending)
     this.retries = new Retries(this.context, placement, ending)
     this.reports = new ReportDesk(this.context, flight, this.retries, ending)
-    this.losses = new LossWatch(this.context, flight, this.reports, this.retries, ending)
+    this.lossDetector = new LossWatch(this.context, flight, this.reports, this.retries, ending)
     this.forwarding = new Forwarding(this.context)
-    this.claims = new ClaimDesk(this.context, this.desk, ending, this.forwarding)
-    this.keyed = new KeyDesk(this.context, this.desk, this.claims, this.forwarding)
-    this.keeper = new AnswerKeeper(this.context)
-    const { keeper } = this
+    this.claims = new ClaimDesk(this.context, this.jobIntake, ending, this.forwarding)
+    this.keyedJobs = new KeyedJobHandler(this.context, this.jobIntake, this.claims, this.forwarding)
+    this.answerRecorder = new AnswerKeeper(this.context)
+    const { answerRecorder: keeper } = this
     this.queries = new QueryDesk(this.context, ending, this.claims, this.forwarding, keeper)
     ending.listen((now, job, answer, before) => {
-      keeper.jobEnded(now, job, answer, before)
+      keeper.onJobEnded(now, job, answer, before)
     })
   }
 
@@ -90,28 +90,28 @@
   }
 
   override step(now: number, event: CoordinatorEvent): readonly CoordinatorAction[] {
-    this.handle(now, event)
-    return this.finish(now)
+    this.handleEvent(now, event)
+    return this.takeActions(now)
   }
 
   override tick(now: number): readonly CoordinatorAction[] {
-    for (const item of this.context.due.takeDue(now)) this.handleDue(now, item)
+    for (const item of this.context.due.takeDue(now)) this.handleTimer(now, item)
     this.context.answers.expire(now)
-    this.keeper.expire(now)
-    return this.finish(now)
+    this.answerRecorder.expire(now)
+    return this.takeActions(now)
   }
 
-  private finish(now: number): readonly CoordinatorAction[] {
-    const isBusy = this.context.jobs.size + this.forwarding.size + this.keeper.unread > 0
-    const isLast = this.desk.draining && !this.saidDrained && !isBusy
+  private takeActions(now: number): readonly CoordinatorAction[] {
+    const isBusy = this.context.jobs.size + this.forwarding.size + this.answerRecorder.unreadCount > 0
+    const isLast = this.jobIntake.draining && !this.reportedDrained && !isBusy
     if (isLast) {
-      this.saidDrained = true
+      this.reportedDrained = true
       this.context.outbox.drained()
     }
-    return this.context.outbox.take(now, isLast)
+    return this.context.outbox.takeActions(now, isLast)
   }
 
-  private handle(now: number, event: CoordinatorEvent): void {
+  private handleEvent(now: number, event: CoordinatorEvent): void {
     switch (event.kind) {
       case CoordinatorEventKind.Submit:
         this.submit(now, event)
@@ -122,22 +122,22 @@
         return
       }
       case CoordinatorEventKind.CallerGone:
-        this.dropCaller(now, event.requestId)
+        this.handleCallerGone(now, event.requestId)
         return
       case CoordinatorEventKind.Message:
-        this.takeMessage(now, event.from, event.message)
+        this.handleMessage(now, event.from, event.message)
         return
       case CoordinatorEventKind.ClaimAnswered:
-        this.claims.takeAnswer(now, event.jobId, event.answer, event.mayBeClaimed)
+        this.claims.handleClaimAnswer(now, event.jobId, event.answer, event.mayBeClaimed)
         return
       case CoordinatorEventKind.Members:
-        this.takeMembers(now, event)
+        this.updateMembers(now, event)
         return
       case CoordinatorEventKind.Preset:
         this.context.policies.apply(event.preset, event.version, event.current)
         return
       case CoordinatorEventKind.Drain:
-        this.desk.draining = true
+        this.jobIntake.draining = true
         return
       default:
         exhaustive(event)
@@ -147,28 +147,28 @@
   private submit(now: number, event: EventOf<CoordinatorEventKind.Submit>): void {
     const { job: spec, respondAsync } = event
     const waiter = localWaiter(event.requestId, respondAsync)
-    this.take(now, { spec, respondAsync, waiter, isForwarded: false })
+    this.submitJob(now, { spec, respondAsync, waiter, isForwarded: false })
   }
 
-  private take(now: number, request: SubmitRequest): void {
+  private submitJob(now: number, request: SubmitRequest): void {
     this.context.counters.submitted++
-    if (request.spec.submissionKey === '') this.desk.submit(now, request)
-    else this.keyed.submit(now, request)
+    if (request.spec.submissionKey === '') this.jobIntake.submit(now, request)
+    else this.keyedJobs.submit(now, request)
   }
 
-  private takeMessage(now: number, from: string, message: CoordinatorMessage): void {
+  private handleMessage(now: number, from: string, message: CoordinatorMessage): void {
     switch (message.case) {
       case 'taskReports':
         this.reports.take(now, from, message.value)
         return
       case 'fenceReports':
-        this.losses.takeFenceReports(now, from, message.value)
+        this.lossDetector.takeFenceReports(now, from, message.value)
         return
       case 'forwardJob': {
         const { job: spec, requestId, respondAsync } = message.value
         if (spec === undefined) return
         const waiter = remoteWaiter(from, requestId, respondAsync)
-        this.take(now, { spec, respondAsync, waiter, isForwarded: true })
+        this.submitJob(now, { spec, respondAsync, waiter, isForwarded: true })
         return
       }
       case 'jobQuery': {
@@ -185,18 +185,18 @@
     }
   }
 
-  private takeMembers(now: number, event: EventOf<CoordinatorEventKind.Members>): void {
+  private updateMembers(now: number, event: EventOf<CoordinatorEventKind.Members>): void {
     const changes = this.context.members.update(now, event.members)
     for (const change of changes) {
-      this.losses.takeChange(now, change)
+      this.lossDetector.takeChange(now, change)
       if (change.kind !== MemberChangeKind.Restarted) continue
       this.forwarding.targetRestarted(now, change.instance, change.boot)
     }
-    this.losses.confirmFences(now)
+    this.lossDetector.confirmFences(now)
   }
 
   /** Nobody waits for the answer of a job that can't be asked for later: it is given up. */
-  private dropCaller(now: number, requestId: string): void {
+  private handleCallerGone(now: number, requestId: string): void {
     const request = this.context.requests.close(requestId)
     if (request === undefined) return
     this.context.counters.callersGone++
@@ -208,19 +208,19 @@
     if (job === undefined) return
     this.context.replies.detach(job, requestId)
     if (job.waiters.length > 0 || job.isKeyed || job.respondAsync) return
-    this.ending.cancel(now, job, callerGone)
+    this.completion.cancel(now, job, callerGone)
   }
 
-  private handleDue(now: number, item: DueItem): void {
+  private handleTimer(now: number, item: DueItem): void {
     switch (item.kind) {
       case DueKind.Deadline:
         this.withJob(item.sequence, (job) => {
-          this.ending.fail(now, job, deadlinePassed)
+          this.completion.fail(now, job, deadlinePassed)
         })
         return
       case DueKind.AskAfterLate:
         this.withJob(item.sequence, (job) => {
-          this.losses.askAfterLate(now, job)
+          this.lossDetector.askAfterLate(now, job)
         })
         return
       case DueKind.Retry:
@@ -229,7 +229,7 @@
         })
         return
       case DueKind.OwnerGone:
-        this.losses.ownerGone(now, item.owner, item.boot)
+        this.lossDetector.ownerGone(now, item.owner, item.boot)
         return
       case DueKind.ForwardLate:
         this.forwarding.checkLate(now, item.forwardId)
--- a/packages/coordinator/src/lib/CoordinatorOptions.ts
+++ b/packages/coordinator/src/lib/CoordinatorOptions.ts
@@ -13,7 +13,7 @@
   /** Claims given up before their outcome was known, whose "not run" is remembered. */
   readonly abandonedClaims: number
   /** Jobs whose cancellation is kept for one silent owner until its link is back. */
-  readonly owedCancelsPerOwner: number
+  readonly pendingCancelsPerOwner: number
 }
 
 /** @public */
@@ -23,7 +23,7 @@
   keptAnswerChars: 64 * 1024 * 1024,
   listedJobs: 500,
   abandonedClaims: 10_000,
-  owedCancelsPerOwner: 10_000,
+  pendingCancelsPerOwner: 10_000,
 }
 
 /** All in milliseconds. @public */
@@ -33,7 +33,7 @@
   /** Added to the lease before a lost owner's tasks count as stopped: clocks drift. */
   readonly leaseMarginMs: number
   /** Offers of an owner that was silent for longer are used only when there is no other. */
-  readonly ownerSilentMs: number
+  readonly ownerSilenceLimitMs: number
   /** Deadline of a job that names none. */
   readonly defaultDeadlineMs: number
   readonly maxDeadlineMs: number
@@ -46,7 +46,7 @@
   /** How long a task whose owner drains or lost its endpoints waits for another owner. */
   readonly ownerPatienceMs: number
   /** While it drains, an answer that nobody fetched yet is held for this long. */
-  readonly drainAnswersMs: number
+  readonly drainAnswerHoldMs: number
   /** A task this much later than expected is asked after at its owner. */
   readonly askAfterMs: number
   /** The first question comes after this at the latest, however long the wait is expected to be. */
@@ -66,14 +66,14 @@
 export const defaultCoordinatorTiming: CoordinatorTiming = {
   leaseMs: 3000,
   leaseMarginMs: 300,
-  ownerSilentMs: 1500,
+  ownerSilenceLimitMs: 1500,
   defaultDeadlineMs: 30_000,
   maxDeadlineMs: 3_600_000,
   ownerDeadlineMarginMs: 25,
   answerRetentionMs: 300_000,
   forwardTimeoutMs: 2000,
   ownerPatienceMs: 1000,
-  drainAnswersMs: 5000,
+  drainAnswerHoldMs: 5000,
   askAfterMs: 1000,
   askAfterMaxMs: 20_000,
   fenceTrustMs: 50_000,
--- a/packages/coordinator/src/lib/Outbox.ts
+++ b/packages/coordinator/src/lib/Outbox.ts
@@ -15,7 +15,7 @@
 import { WaiterKind } from './jobs/Waiter'
 import type { Waiter } from './jobs/Waiter'
 
-interface OwedCancels {
+interface PendingCancels {
   jobs: CancelledJob[]
   sentAt: number
 }
@@ -26,14 +26,14 @@
   /** Least time between two messages of cancellations to one owner. */
   readonly cancelBatchMs: number
   /** Cancellations kept for an owner that can't be reached. */
-  readonly owedCancelsPerOwner: number
+  readonly pendingCancelsPerOwner: number
   readonly isReachable: (instance: string) => boolean
 }
 
 /** Collects the actions of a step. @internal */
 export class Outbox {
   private actions: CoordinatorAction[] = []
-  private readonly cancels = new Map<string, OwedCancels>()
+  private readonly pendingCancels = new Map<string, PendingCancels>()
 
   constructor(private readonly options: OutboxOptions) {}
 
@@ -73,26 +73,26 @@
 
   /** Tells an owner, with the next batch, that no task of the job is wanted any more. */
   cancel(owner: string, jobId: string, reason: Reason): void {
-    let owed = this.cancels.get(owner)
+    let owed = this.pendingCancels.get(owner)
     if (owed === undefined) {
       owed = { jobs: [], sentAt: -Infinity }
-      this.cancels.set(owner, owed)
+      this.pendingCancels.set(owner, owed)
     }
     owed.jobs.push(create(CancelledJobSchema, { jobId, reason }))
-    if (owed.jobs.length > this.options.owedCancelsPerOwner) owed.jobs.shift()
+    if (owed.jobs.length > this.options.pendingCancelsPerOwner) owed.jobs.shift()
   }
 
   /** The owner is gone, and with it what it might have cancelled. */
   forgetCancels(owner: string): void {
-    this.cancels.delete(owner)
+    this.pendingCancels.delete(owner)
   }
 
   /**
    * Takes out the actions; cancellations that follow closely on others wait for a tick, unless
    * this is the last step.
    */
-  take(now: number, isLast: boolean): readonly CoordinatorAction[] {
-    for (const [owner, owed] of this.cancels) {
+  takeActions(now: number, isLast: boolean): readonly CoordinatorAction[] {
+    for (const [owner, owed] of this.pendingCancels) {
       if (owed.jobs.length === 0) continue
       if (now - owed.sentAt < this.options.cancelBatchMs && !isLast) continue
       if (!this.options.isReachable(owner)) continue
@@ -103,7 +103,7 @@
     return taken
   }
 
-  private sendCancels(now: number, owner: string, owed: OwedCancels): void {
+  private sendCancels(now: number, owner: string, owed: PendingCancels): void {
     this.options.counters.cancelMessages++
     const made = envelope({ case: 'cancelTasks', value: { jobs: owed.jobs } })
     this.actions.push({ kind: CoordinatorActionKind.Send, to: owner, envelope: made })
--- a/packages/coordinator/src/lib/answers/AnswerBook.ts
+++ b/packages/coordinator/src/lib/answers/AnswerCache.ts
@@ -1,10 +1,10 @@
 import type { JobAnswer } from '@cherryhitch/protocol'
 
 /** Counted for each kept answer beside its outputs. */
-const FIXED_CHARS = 300
+const ANSWER_OVERHEAD_CHARS = 300
 
 /** @internal */
-export interface KeptAnswer {
+export interface CachedAnswer {
   readonly jobId: string
   readonly caller: string
   readonly answer: JobAnswer
@@ -13,17 +13,17 @@
 }
 
 interface Entry {
-  readonly kept: KeptAnswer
+  readonly kept: CachedAnswer
   readonly chars: number
   readonly expiresAt: number
 }
 
 /** @internal */
-export interface AnswerBookOptions {
+export interface AnswerCacheOptions {
   readonly retentionMs: number
   readonly maxAnswers: number
   readonly maxChars: number
-  readonly onDropped: (kept: KeptAnswer) => void
+  readonly onEvicted: (kept: CachedAnswer) => void
 }
 
 /**
@@ -32,25 +32,25 @@
  *
  * @internal
  */
-export class AnswerBook {
+export class AnswerCache {
   private readonly entries = new Map<string, Entry>()
   private chars = 0
 
-  constructor(private readonly options: AnswerBookOptions) {}
+  constructor(private readonly options: AnswerCacheOptions) {}
 
   get size(): number {
     return this.entries.size
   }
 
-  keep(now: number, kept: KeptAnswer): void {
-    const chars = charsOf(kept.answer)
+  add(now: number, kept: CachedAnswer): void {
+    const chars = answerChars(kept.answer)
     const expiresAt = now + this.options.retentionMs
     this.entries.set(kept.jobId, { kept, chars, expiresAt })
     this.chars += chars
     this.enforceBounds()
   }
 
-  get(now: number, jobId: string): KeptAnswer | undefined {
+  get(now: number, jobId: string): CachedAnswer | undefined {
     const entry = this.entries.get(jobId)
     return entry === undefined || entry.expiresAt <= now ? undefined : entry.kept
   }
@@ -58,7 +58,7 @@
   expire(now: number): void {
     for (const entry of this.entries.values()) {
       if (entry.expiresAt > now) return
-      this.drop(entry)
+      this.evict(entry)
     }
   }
 
@@ -66,19 +66,19 @@
     for (const entry of this.entries.values()) {
       const isWithin = this.chars <= this.options.maxChars
       if (isWithin && this.entries.size <= this.options.maxAnswers) return
-      this.drop(entry)
+      this.evict(entry)
     }
   }
 
-  private drop(entry: Entry): void {
+  private evict(entry: Entry): void {
     this.entries.delete(entry.kept.jobId)
     this.chars -= entry.chars
-    this.options.onDropped(entry.kept)
+    this.options.onEvicted(entry.kept)
   }
 }
 
-function charsOf(answer: JobAnswer): number {
-  let chars = FIXED_CHARS + answer.detail.length
+function answerChars(answer: JobAnswer): number {
+  let chars = ANSWER_OVERHEAD_CHARS + answer.detail.length
   for (const output of answer.outputs) chars += output.length
   return chars
 }
--- a/packages/coordinator/src/lib/answers/AnswerKeeper.ts
+++ b/packages/coordinator/src/lib/answers/AnswerKeeper.ts
@@ -13,36 +13,36 @@
  */
 export class AnswerKeeper {
   /** Asynchronous jobs whose answer nobody has yet, by the time of their end. */
-  private readonly unreadSince = new Map<string, number>()
+  private readonly endedAtByUnreadJob = new Map<string, number>()
 
   constructor(private readonly context: CoordinatorContext) {}
 
   /** Answers that a draining instance waits for a while to give. */
-  get unread(): number {
-    return this.unreadSince.size
+  get unreadCount(): number {
+    return this.endedAtByUnreadJob.size
   }
 
   noteRead(jobId: string): void {
-    this.unreadSince.delete(jobId)
+    this.endedAtByUnreadJob.delete(jobId)
   }
 
   expire(now: number): void {
-    for (const [jobId, endedAt] of this.unreadSince) {
-      if (now - endedAt < this.context.timing.drainAnswersMs) return
-      this.unreadSince.delete(jobId)
+    for (const [jobId, endedAt] of this.endedAtByUnreadJob) {
+      if (now - endedAt < this.context.timing.drainAnswerHoldMs) return
+      this.endedAtByUnreadJob.delete(jobId)
     }
   }
 
-  jobEnded(now: number, job: Job, answer: JobAnswer, before: JobPhase): void {
+  onJobEnded(now: number, job: Job, answer: JobAnswer, before: JobPhase): void {
     if (!job.respondAsync && !job.isKeyed) return
     const keyId = job.isKeyed ? formatKeyId(job.caller, job.spec.submissionKey) : ''
-    if (job.respondAsync && job.waiters.length === 0) this.unreadSince.set(job.id, now)
-    this.context.answers.keep(now, { jobId: job.id, caller: job.caller, answer, keyId })
+    if (job.respondAsync && job.waiters.length === 0) this.endedAtByUnreadJob.set(job.id, now)
+    this.context.answers.add(now, { jobId: job.id, caller: job.caller, answer, keyId })
     const entry = this.context.keys.get(keyId)
     if (entry?.jobId !== job.id) return
-    entry.running = false
-    entry.answersAll = answersResends(job, answer, before)
-    entry.answered = [...job.waiters]
+    entry.isRunning = false
+    entry.answersAnyResend = isAnswerForAnyResend(job, answer, before)
+    entry.answeredWaiters = [...job.waiters]
   }
 }
 
@@ -51,7 +51,7 @@
  * failure, or the caller could never mend it; one that must not run twice gets it always, unless
  * it truly did not run or the voters know more.
  */
-function answersResends(job: Job, answer: JobAnswer, before: JobPhase): boolean {
+function isAnswerForAnyResend(job: Job, answer: JobAnswer, before: JobPhase): boolean {
   if (answer.state === JobState.SUCCEEDED) return true
   if (job.spec.idempotent || before !== JobPhase.Running) return false
   return answer.outcome !== Outcome.NOT_RUN
--- a/packages/coordinator/src/lib/createContext.ts
+++ b/packages/coordinator/src/lib/createContext.ts
@@ -1,4 +1,4 @@
-import { AnswerBook } from './answers/AnswerBook'
+import { AnswerCache } from './answers/AnswerCache'
 import type { CoordinatorContext } from './CoordinatorContext'
 import { createCounters } from './CoordinatorCounters'
 import type { CoordinatorOptions } from './CoordinatorOptions'
@@ -7,32 +7,32 @@
 import { Replies } from './jobs/Replies'
 import { RequestBook } from './jobs/RequestBook'
 import { KeyBook } from './keys/KeyBook'
-import { MemberBook } from './members/MemberBook'
+import { MemberTable } from './members/MemberTable'
 import { Outbox } from './Outbox'
 import { TasksByOwner } from './placement/TasksByOwner'
-import { PolicyBook } from './PolicyBook'
+import { ActivePolicies } from './ActivePolicies'
 import type { DueItem } from './timers/DueItem'
-import { DueWheel } from './timers/DueWheel'
+import { TimerWheel } from './timers/TimerWheel'
 
 /** Makes the books that the managers of one coordinator share. @internal */
 export function createContext(options: CoordinatorOptions): CoordinatorContext {
   const limits = { ...defaultCoordinatorLimits, ...options.limits }
   const timing = { ...defaultCoordinatorTiming, ...options.timing }
   const counters = createCounters()
-  const members = new MemberBook(options.instance, options.boot, timing.ownerSilentMs)
+  const members = new MemberTable(options.instance, options.boot, timing.ownerSilenceLimitMs)
   const outbox = new Outbox({
     counters,
     cancelBatchMs: timing.cancelBatchMs,
-    owedCancelsPerOwner: limits.owedCancelsPerOwner,
+    pendingCancelsPerOwner: limits.pendingCancelsPerOwner,
     isReachable: (instance) => members.isAlive(instance),
   })
   const keys = new KeyBook()
   const requests = new RequestBook()
-  const answers = new AnswerBook({
+  const answers = new AnswerCache({
     retentionMs: timing.answerRetentionMs,
     maxAnswers: limits.keptAnswers,
     maxChars: limits.keptAnswerChars,
-    onDropped: ({ keyId, jobId }) => {
+    onEvicted: ({ keyId, jobId }) => {
       keys.forget(keyId, jobId)
     },
   })
@@ -43,13 +43,13 @@
     counters,
     outbox,
     members,
-    policies: new PolicyBook(options.preset),
+    policies: new ActivePolicies(options.preset),
     jobs: new JobBook(),
     keys,
     answers,
     requests,
     replies: new Replies(outbox, requests),
     inFlight: new TasksByOwner(),
-    due: new DueWheel<DueItem>(),
+    due: new TimerWheel<DueItem>(),
   }
 }
--- a/packages/coordinator/src/lib/keys/ClaimDesk.ts
+++ b/packages/coordinator/src/lib/keys/ClaimDesk.ts
@@ -20,7 +20,7 @@
 import type { JobEnding } from '../jobs/JobEnding'
 
 const QUORUM_RETRY_MS = 1000
-const NOTHING = new Uint8Array(0)
+const EMPTY_ANSWER = new Uint8Array(0)
 
 const noQuorum = problem(
   Reason.NO_QUORUM,
@@ -59,16 +59,16 @@
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly desk: JobDesk,
-    private readonly ending: JobEnding,
+    private readonly jobIntake: JobDesk,
+    private readonly completion: JobEnding,
     private readonly forwarding: Forwarding,
   ) {
-    ending.listen((now, job, answer, before) => {
-      this.jobEnded(now, job, answer, before)
+    completion.listen((now, job, answer, before) => {
+      this.onJobEnded(now, job, answer, before)
     })
   }
 
-  start(now: number, job: Job): void {
+  requestClaim(now: number, job: Job): void {
     job.phase = JobPhase.Claiming
     this.context.outbox.claim(
       create(KeyClaimSchema, {
@@ -87,26 +87,26 @@
     return claim?.caller === caller ? claim.answer : undefined
   }
 
-  takeAnswer(
+  handleClaimAnswer(
     now: number,
     jobId: string,
     answer: ClaimAnswer | undefined,
     mayBeClaimed: boolean,
   ): void {
-    const job = this.findClaiming(jobId)
+    const job = this.findClaimingJob(jobId)
     if (job === undefined) {
-      this.settleAbandoned(now, jobId, answer, mayBeClaimed)
+      this.resolveAbandoned(now, jobId, answer, mayBeClaimed)
       return
     }
     if (answer !== undefined) {
-      this.decide(now, job, answer)
+      this.applyVerdict(now, job, answer)
       return
     }
-    this.ending.refuse(now, job, noQuorum)
-    this.settleAbandoned(now, jobId, undefined, mayBeClaimed)
+    this.completion.refuse(now, job, noQuorum)
+    this.resolveAbandoned(now, jobId, undefined, mayBeClaimed)
   }
 
-  private findClaiming(jobId: string): Job | undefined {
+  private findClaimingJob(jobId: string): Job | undefined {
     const id = parseJobId(jobId)
     const { options, jobs } = this.context
     if (id?.coordinator !== options.instance || id.boot !== options.boot) return undefined
@@ -114,62 +114,62 @@
     return job?.phase === JobPhase.Claiming ? job : undefined
   }
 
-  private decide(now: number, job: Job, answer: ClaimAnswer): void {
+  private applyVerdict(now: number, job: Job, answer: ClaimAnswer): void {
     switch (answer.verdict) {
       case ClaimVerdict.GRANTED:
         this.dispatch(now, job)
         return
       case ClaimVerdict.HELD:
-        this.followHolder(now, job, answer)
+        this.joinHolder(now, job, answer)
         return
       case ClaimVerdict.MISMATCH:
-        this.ending.refuse(now, job, keyReused)
+        this.completion.refuse(now, job, keyReused)
         this.abandoned.delete(job.id)
         return
       case ClaimVerdict.FULL:
-        this.ending.refuse(now, job, claimsFull)
+        this.completion.refuse(now, job, claimsFull)
         this.abandoned.delete(job.id)
         return
       case ClaimVerdict.UNSPECIFIED:
       default:
         // Not understood, so it may be claimed: the release makes the refusal true for good.
-        this.ending.refuse(now, job, noQuorum)
-        this.settleAbandoned(now, job.id, undefined, true)
+        this.completion.refuse(now, job, noQuorum)
+        this.resolveAbandoned(now, job.id, undefined, true)
     }
   }
 
   private dispatch(now: number, job: Job): void {
     job.phase = JobPhase.Running
     job.claimed = true
-    this.desk.start(now, job)
+    this.jobIntake.start(now, job)
   }
 
   /** Another job holds the key: its answer is the answer to this one. */
-  private followHolder(now: number, job: Job, answer: ClaimAnswer): void {
+  private joinHolder(now: number, job: Job, answer: ClaimAnswer): void {
     if (answer.state === ClaimState.UNSPECIFIED) {
-      this.ending.refuse(now, job, noQuorum)
+      this.completion.refuse(now, job, noQuorum)
       this.abandoned.delete(job.id)
       return
     }
     this.context.counters.keyHits++
     job.phase = JobPhase.Joining
     if (answer.state === ClaimState.ENDED) {
-      this.endWithKept(now, job, answer.answer)
+      this.endWithStoredAnswer(now, job, answer.answer)
       return
     }
     const holder = parseJobId(answer.jobId)
     const { options, members } = this.context
     if (holder === undefined || !members.isPresent(holder.coordinator, holder.boot)) {
-      this.ending.fail(now, job, outcomeUnknown)
+      this.completion.fail(now, job, outcomeUnknown)
     } else if (holder.coordinator === options.instance) {
       this.joinLocal(now, job, answer.jobId, holder.sequence)
     } else this.joinRemote(now, job, answer.jobId, holder.coordinator)
   }
 
-  private endWithKept(now: number, job: Job, bytes: Uint8Array): void {
+  private endWithStoredAnswer(now: number, job: Job, bytes: Uint8Array): void {
     const kept = decodeAnswer(bytes)
-    if (kept === undefined) this.ending.fail(now, job, outcomeUnknown)
-    else this.ending.endWith(now, job, kept)
+    if (kept === undefined) this.completion.fail(now, job, outcomeUnknown)
+    else this.completion.endWith(now, job, kept)
   }
 
   private joinLocal(now: number, job: Job, holderId: string, sequence: number): void {
@@ -179,12 +179,12 @@
       job.joinedId = holderId
       replies.answerAsync(job, runningAnswer(job, policies))
       replies.move(job, holder)
-      this.ending.dissolve(job)
+      this.completion.dissolve(job)
       return
     }
     const kept = answers.get(now, holderId)?.answer ?? this.abandonedAnswer(holderId, job.caller)
-    if (kept === undefined) this.ending.fail(now, job, outcomeUnknown)
-    else this.ending.endWith(now, job, kept)
+    if (kept === undefined) this.completion.fail(now, job, outcomeUnknown)
+    else this.completion.endWith(now, job, kept)
   }
 
   private joinRemote(now: number, job: Job, holderId: string, target: string): void {
@@ -193,14 +193,14 @@
     job.joinedId = holderId
     replies.answerAsync(job, runningAnswer(job, policies))
     if (job.waiters.length === 0) {
-      this.ending.dissolve(job)
+      this.completion.dissolve(job)
       return
     }
     const end = (at: number, answer: JobAnswer | undefined): void => {
       // The job may have reached its deadline meanwhile.
       if (jobs.get(sequence) !== job) return
-      if (answer === undefined) this.ending.fail(at, job, outcomeUnknown)
-      else this.ending.endWith(at, job, answer)
+      if (answer === undefined) this.completion.fail(at, job, outcomeUnknown)
+      else this.completion.endWith(at, job, answer)
     }
     this.forwarding.ask(now, {
       target,
@@ -217,16 +217,16 @@
     })
   }
 
-  private jobEnded(now: number, job: Job, answer: JobAnswer, before: JobPhase): void {
-    if (before === JobPhase.Claiming) this.abandon(job, answer)
+  private onJobEnded(now: number, job: Job, answer: JobAnswer, before: JobPhase): void {
+    if (before === JobPhase.Claiming) this.rememberAbandoned(job, answer)
     if (!job.claimed) return
     // A job that truly did not run gives its key back, so that a resend may run.
     const isUnused = answer.outcome === Outcome.NOT_RUN
-    const bytes = isUnused ? NOTHING : toBinary(JobAnswerSchema, answer)
+    const bytes = isUnused ? EMPTY_ANSWER : toBinary(JobAnswerSchema, answer)
     this.endClaim(now, job.id, job.caller, job.spec.submissionKey, bytes)
   }
 
-  private abandon(job: Job, answer: JobAnswer): void {
+  private rememberAbandoned(job: Job, answer: JobAnswer): void {
     const { caller, spec } = job
     this.abandoned.set(job.id, { caller, submissionKey: spec.submissionKey, answer })
     for (const oldest of this.abandoned.keys()) {
@@ -239,7 +239,7 @@
    * Gives the key of an abandoned job back where its claim was or may still be committed. The
    * release also stands in the log against a claim that is committed after it.
    */
-  private settleAbandoned(
+  private resolveAbandoned(
     now: number,
     jobId: string,
     answer: ClaimAnswer | undefined,
@@ -249,7 +249,7 @@
     if (claim === undefined) return
     const isGranted = answer?.verdict === ClaimVerdict.GRANTED
     if (isGranted || (answer === undefined && mayBeClaimed)) {
-      this.endClaim(now, jobId, claim.caller, claim.submissionKey, NOTHING)
+      this.endClaim(now, jobId, claim.caller, claim.submissionKey, EMPTY_ANSWER)
       return
     }
     this.abandoned.delete(jobId)
--- a/packages/coordinator/src/lib/keys/KeyBook.ts
+++ b/packages/coordinator/src/lib/keys/KeyBook.ts
@@ -7,11 +7,11 @@
   readonly sequence: number
   readonly contentHash: string
   /** False once the job has ended. */
-  running: boolean
+  isRunning: boolean
   /** Whether any resend gets the answer; else only those that were answered before. */
-  answersAll: boolean
+  answersAnyResend: boolean
   /** Those that got the answer: one that asks again lost it on its way. */
-  answered: readonly Waiter[]
+  answeredWaiters: readonly Waiter[]
 }
 
 /** The keys of jobs that run here, or ended here and have a kept answer. @internal */
@@ -42,6 +42,6 @@
 }
 
 /** Whether a resend gets the answer that an ended entry stands for. @internal */
-export function isAnsweredBy(entry: KeyEntry, waiter: Waiter): boolean {
-  return entry.answersAll || entry.answered.some((other) => isSameWaiter(other, waiter))
+export function mayReuseAnswer(entry: KeyEntry, waiter: Waiter): boolean {
+  return entry.answersAnyResend || entry.answeredWaiters.some((other) => isSameWaiter(other, waiter))
 }
--- a/packages/coordinator/src/lib/keys/KeyDesk.ts
+++ b/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
@@ -14,10 +14,10 @@
 import type { ClaimDesk } from './ClaimDesk'
 import { contentHash } from './contentHash'
 import type { KeyEntry } from './KeyBook'
-import { formatKeyId, isAnsweredBy } from './KeyBook'
+import { formatKeyId, mayReuseAnswer } from './KeyBook'
 
 /** The coordinator of a forwarded job answers at the deadline itself; this is for the way back. */
-const FORWARD_GRACE_MS = 50
+const FORWARD_REPLY_MARGIN_MS = 50
 
 const keyReused = problem(
   Reason.KEY_REUSED,
@@ -33,10 +33,10 @@
 )
 
 /** Takes jobs with a submission key: a resend joins the first one or gets its answer. @internal */
-export class KeyDesk {
+export class KeyedJobHandler {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly desk: JobDesk,
+    private readonly jobIntake: JobDesk,
     private readonly claims: ClaimDesk,
     private readonly forwarding: Forwarding,
   ) {}
@@ -45,37 +45,37 @@
     const { spec } = request
     const hash = contentHash(spec)
     const entry = this.context.keys.get(formatKeyId(spec.caller, spec.submissionKey))
-    if (entry !== undefined && this.answerFrom(now, request, entry, hash)) return
-    if (spec.idempotent && !this.desk.draining && this.forward(now, request, [])) return
-    this.open(now, request, hash)
+    if (entry !== undefined && this.answerFromEntry(now, request, entry, hash)) return
+    if (spec.idempotent && !this.jobIntake.draining && this.forwardToPickedCoordinator(now, request, [])) return
+    this.admitLocally(now, request, hash)
   }
 
   /** Takes the job on here. */
-  private open(now: number, request: SubmitRequest, hash: string): void {
+  private admitLocally(now: number, request: SubmitRequest, hash: string): void {
     const { spec } = request
-    const job = this.desk.admit(now, request, hash)
+    const job = this.jobIntake.admit(now, request, hash)
     if (job === undefined) return
     this.context.keys.put(formatKeyId(spec.caller, spec.submissionKey), {
       jobId: job.id,
       sequence: job.sequence,
       contentHash: hash,
-      running: true,
-      answersAll: false,
-      answered: [],
+      isRunning: true,
+      answersAnyResend: false,
+      answeredWaiters: [],
     })
-    if (spec.idempotent) this.desk.start(now, job)
-    else this.claims.start(now, job)
+    if (spec.idempotent) this.jobIntake.start(now, job)
+    else this.claims.requestClaim(now, job)
   }
 
   /** @returns false when the job has to run anew */
-  private answerFrom(now: number, request: SubmitRequest, entry: KeyEntry, hash: string): boolean {
+  private answerFromEntry(now: number, request: SubmitRequest, entry: KeyEntry, hash: string): boolean {
     const { answers, jobs, replies } = this.context
-    if (!entry.running && !isAnsweredBy(entry, request.waiter)) return false
+    if (!entry.isRunning && !mayReuseAnswer(entry, request.waiter)) return false
     const job = jobs.get(entry.sequence)
     const kept = answers.get(now, entry.jobId)
     if (job === undefined && kept === undefined) return false
     if (entry.contentHash !== hash) {
-      this.desk.refuseUnopened(request, keyReused)
+      this.jobIntake.refuseUnopened(request, keyReused)
       return true
     }
     this.context.counters.keyHits++
@@ -98,7 +98,7 @@
    *
    * @returns false when the job belongs here
    */
-  private forward(now: number, request: SubmitRequest, excluded: readonly string[]): boolean {
+  private forwardToPickedCoordinator(now: number, request: SubmitRequest, excluded: readonly string[]): boolean {
     const { spec, waiter, isForwarded } = request
     const { members, options, replies } = this.context
     // A job is sent on once: two instances that disagree would send it back and forth.
@@ -106,19 +106,19 @@
     const candidates = members.serving.filter((name) => !excluded.includes(name))
     const target = pickOwner(formatKeyId(spec.caller, spec.submissionKey), candidates)
     if (target === undefined || target === options.instance) return false
-    const deadlineAt = now + this.desk.deadlineInMs(spec)
+    const deadlineAt = now + this.jobIntake.deadlineInMs(spec)
     const traceparent = deriveTraceparent(
       spec.traceparent,
       `${options.instance}/${options.boot}/${now}/${waiter.requestId}`,
     )
     const giveUp = (at: number, why: JobProblem): void => {
-      this.spanForward(now, at, spec, traceparent, target, false)
+      this.recordForwardSpan(now, at, spec, traceparent, target, false)
       replies.give(waiter, unknownAnswer('', why, this.context.policies))
     }
     const forwardId = this.forwarding.ask(now, {
       target,
       body: (at, requestId) => {
-        const job = withTimeLeft(spec, deadlineAt - at, traceparent)
+        const job = withRemainingTime(spec, deadlineAt - at, traceparent)
         const value = { requestId, job, respondAsync: request.respondAsync }
         return { case: 'forwardJob', value: create(ForwardJobSchema, value) }
       },
@@ -130,11 +130,11 @@
           return
         }
         if (isDrainingRefusal(answer)) {
-          const rest = { ...request, spec: withTimeLeft(spec, deadlineAt - at, spec.traceparent) }
-          this.forwardElsewhere(at, rest, [...excluded, target])
+          const rest = { ...request, spec: withRemainingTime(spec, deadlineAt - at, spec.traceparent) }
+          this.forwardToNextCoordinator(at, rest, [...excluded, target])
           return
         }
-        this.spanForward(now, at, spec, traceparent, target, answer.state === JobState.SUCCEEDED)
+        this.recordForwardSpan(now, at, spec, traceparent, target, answer.state === JobState.SUCCEEDED)
         replies.give(waiter, answer)
       },
       onLost: (at, loss) => {
@@ -146,17 +146,17 @@
   }
 
   /** The chosen coordinator drains and said truthfully that it did not run the job. */
-  private forwardElsewhere(now: number, request: SubmitRequest, excluded: readonly string[]): void {
-    if (this.forward(now, request, excluded)) return
-    this.open(now, request, contentHash(request.spec))
+  private forwardToNextCoordinator(now: number, request: SubmitRequest, excluded: readonly string[]): void {
+    if (this.forwardToPickedCoordinator(now, request, excluded)) return
+    this.admitLocally(now, request, contentHash(request.spec))
   }
 
   private forwardExpiry(now: number, { respondAsync }: SubmitRequest, deadlineAt: number): number {
-    if (!respondAsync) return deadlineAt + FORWARD_GRACE_MS
+    if (!respondAsync) return deadlineAt + FORWARD_REPLY_MARGIN_MS
     return Math.min(deadlineAt, now + 2 * this.context.timing.forwardTimeoutMs)
   }
 
-  private spanForward(
+  private recordForwardSpan(
     startMs: number,
     endMs: number,
     spec: JobSpec,
@@ -182,7 +182,7 @@
   return answer.outcome === Outcome.NOT_RUN && answer.reason === Reason.DRAINING
 }
 
-function withTimeLeft(spec: JobSpec, leftMs: number, traceparent: string): JobSpec {
+function withRemainingTime(spec: JobSpec, leftMs: number, traceparent: string): JobSpec {
   const { caller, submissionKey, idempotent, tasks } = spec
   // 0 would mean "none given".
   const deadlineInMs = Math.max(1, leftMs)
--- a/packages/coordinator/src/lib/keys/contentHash.ts
+++ b/packages/coordinator/src/lib/keys/contentHash.ts
@@ -14,11 +14,11 @@
   const hash = createHash('sha256')
   hash.update(spec.idempotent ? 'idempotent' : 'once')
   hash.update(`/${spec.tasks.length}`)
-  for (const task of spec.tasks) hash.update(taskText(task))
+  for (const task of spec.tasks) hash.update(encodeTask(task))
   return hash.digest('hex')
 }
 
-function taskText({ service, payload, resources }: TaskSpec): string {
+function encodeTask({ service, payload, resources }: TaskSpec): string {
   const needs = [resources?.cores, resources?.memoryMb, resources?.accelerators]
   const fields = [service, payload, ...needs.map((need) => String(need ?? 0))]
   return fields.map((field) => `/${field.length}:${field}`).join('')
--- a/packages/coordinator/src/lib/members/MemberBook.ts
+++ b/packages/coordinator/src/lib/members/MemberTable.ts
@@ -6,22 +6,22 @@
 import { UnreportedTasks } from './UnreportedTasks'
 
 /** An offer that is kept up to date in place, so that placing a job builds no list. */
-interface LiveOffer extends OwnerOffer {
+interface MutableOffer extends OwnerOffer {
   unreported: number
 }
 
 /** What this coordinator knows of the instances. @internal */
-export class MemberBook {
+export class MemberTable {
   private byName = new Map<string, InstanceView>()
   private offerList: readonly OwnerOffer[] = []
-  private readonly offerOf = new Map<string, LiveOffer>()
+  private readonly offerByKey = new Map<string, MutableOffer>()
   private readonly unreported = new Map<string, UnreportedTasks>()
   private servingNames: readonly string[] = []
 
   constructor(
     private readonly self: string,
     private readonly selfBoot: number,
-    private readonly silentMs: number,
+    private readonly silenceLimitMs: number,
   ) {}
 
   /** Live instances that admit jobs now. */
@@ -74,22 +74,22 @@
     this.byName = new Map(members.map((member) => [member.instance, member]))
     const serving = members.filter(isServing)
     this.servingNames = serving.map((member) => member.instance)
-    this.offerOf.clear()
-    const silent: LiveOffer[] = []
-    const fresh: LiveOffer[] = []
+    this.offerByKey.clear()
+    const silent: MutableOffer[] = []
+    const fresh: MutableOffer[] = []
     for (const member of serving) {
-      const isSilent = !member.self && now - member.heardAt > this.silentMs
-      const offers = this.takeOffers(member, previous.get(member.instance))
+      const isSilent = !member.self && now - member.heardAt > this.silenceLimitMs
+      const offers = this.buildOffers(member, previous.get(member.instance))
       if (isSilent) silent.push(...offers)
       else fresh.push(...offers)
     }
-    this.offerList = withoutCovered(silent, fresh)
+    this.offerList = omitRedundantSilent(silent, fresh)
     return this.changesSince(previous)
   }
 
   /** Predicted wait at an owner, in milliseconds. */
   waitAt(instance: string, service: string): number {
-    return this.offerOf.get(offerKey(instance, service))?.waitMs ?? 0
+    return this.offerByKey.get(offerKey(instance, service))?.waitMs ?? 0
   }
 
   notePlaced(now: number, instance: string, service: string): void {
@@ -100,19 +100,19 @@
       this.unreported.set(key, tasks)
     }
     tasks.add(now, 1)
-    this.refreshOffer(key, tasks)
+    this.updateUnreported(key, tasks)
   }
 
   noteEnded(instance: string, service: string, placedAt: number): void {
     const key = offerKey(instance, service)
     const tasks = this.unreported.get(key)
     if (tasks === undefined) return
-    tasks.takeBack(placedAt)
-    this.refreshOffer(key, tasks)
+    tasks.removeOne(placedAt)
+    this.updateUnreported(key, tasks)
   }
 
-  private refreshOffer(key: string, tasks: UnreportedTasks): void {
-    const offer = this.offerOf.get(key)
+  private updateUnreported(key: string, tasks: UnreportedTasks): void {
+    const offer = this.offerByKey.get(key)
     if (offer !== undefined) offer.unreported = tasks.count
   }
 
@@ -129,15 +129,15 @@
     return changes
   }
 
-  private takeOffers(member: InstanceView, before: InstanceView | undefined): LiveOffer[] {
+  private buildOffers(member: InstanceView, before: InstanceView | undefined): MutableOffer[] {
     const isNew = before?.services !== member.services
     // What was on its way when the summary was made may be missing in it.
     const cutoff = member.heardAt - member.roundTripMs
     return member.services.map((summary) => {
       const key = offerKey(member.instance, summary.service)
       const tasks = this.unreported.get(key)
-      if (isNew) tasks?.forgetBefore(cutoff)
-      const offer: LiveOffer = {
+      if (isNew) tasks?.discardBefore(cutoff)
+      const offer: MutableOffer = {
         instance: member.instance,
         zone: member.zone,
         service: summary.service,
@@ -150,7 +150,7 @@
         roundTripMs: member.self ? 0 : member.roundTripMs,
         unreported: tasks?.count ?? 0,
       }
-      this.offerOf.set(key, offer)
+      this.offerByKey.set(key, offer)
       return offer
     })
   }
@@ -166,10 +166,10 @@
   return isAlive ? MemberChangeKind.Back : MemberChangeKind.Lost
 }
 
-function withoutCovered(
-  silent: readonly LiveOffer[],
-  fresh: readonly LiveOffer[],
-): readonly LiveOffer[] {
+function omitRedundantSilent(
+  silent: readonly MutableOffer[],
+  fresh: readonly MutableOffer[],
+): readonly MutableOffer[] {
   if (silent.length === 0) return fresh
   const covered = new Set(fresh.map((offer) => offer.service))
   return [...fresh, ...silent.filter((offer) => !covered.has(offer.service))]
--- a/packages/coordinator/src/lib/members/UnreportedTasks.ts
+++ b/packages/coordinator/src/lib/members/UnreportedTasks.ts
@@ -24,7 +24,7 @@
   }
 
   /** A task placed at `placedAt` ended: the next summary will not hold it. */
-  takeBack(placedAt: number): void {
+  removeOne(placedAt: number): void {
     for (let i = this.entries.length - 1; i >= 0; i--) {
       const entry = this.entries[i]
       if (entry === undefined || entry.at > placedAt) continue
@@ -37,7 +37,7 @@
   }
 
   /** A summary came that holds what was placed before `cutoff`. */
-  forgetBefore(cutoff: number): void {
+  discardBefore(cutoff: number): void {
     const kept = this.entries.findIndex((entry) => entry.at >= cutoff)
     const dropped = kept < 0 ? this.entries.splice(0) : this.entries.splice(0, kept)
     for (const entry of dropped) this.count -= entry.count
--- a/packages/coordinator/src/lib/startCoordinator.ts
+++ b/packages/coordinator/src/lib/startCoordinator.ts
@@ -57,7 +57,7 @@
 type Resume = (answer: JobAnswer | undefined) => void
 
 /** The requests of connected callers that wait for their Reply. */
-class OpenRequests {
+class PendingRequests {
   private readonly resumes = new Map<string, Resume>()
   private lastRequest = 0
 
@@ -81,7 +81,7 @@
 function perform(
   action: CoordinatorAction,
   options: StartCoordinatorOptions,
-  requests: OpenRequests,
+  requests: PendingRequests,
 ): void {
   switch (action.kind) {
     case CoordinatorActionKind.Send:
@@ -119,7 +119,7 @@
   return Effect.gen(function* () {
     const clock = options.clock ?? systemClock
     const machine = new CoordinatorMachine(options)
-    const requests = new OpenRequests()
+    const requests = new PendingRequests()
     const part = yield* startPart(machine, {
       tickMs: TICK_MS,
       clock,
--- a/packages/coordinator/src/lib/timers/DueWheel.test.ts
+++ b/packages/coordinator/src/lib/timers/TimerWheel.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { DueWheel } from './DueWheel'
+import { TimerWheel } from './TimerWheel'
 
 describe('timers', () => {
   it('go off in time and once, in whatever order they are set', () => {
@@ -9,7 +9,7 @@
     const steps = fc.array(fc.integer({ min: 0, max: 400 }), { minLength: 1, maxLength: 20 })
     fc.assert(
       fc.property(times, times, steps, (first, later, moves) => {
-        const wheel = new DueWheel<number>()
+        const wheel = new TimerWheel<number>()
         for (const at of first) wheel.schedule(at, at)
         const rest = [...later]
         const taken: number[] = []
@@ -31,7 +31,7 @@
   })
 
   it('go off although a later one was set before', () => {
-    const wheel = new DueWheel<string>()
+    const wheel = new TimerWheel<string>()
     wheel.schedule(9000, 'late')
     wheel.schedule(100, 'early')
     assert.deepEqual(wheel.takeDue(120), ['early'])
--- a/packages/coordinator/src/lib/timers/DueWheel.ts
+++ b/packages/coordinator/src/lib/timers/TimerWheel.ts
@@ -8,7 +8,7 @@
  *
  * @internal
  */
-export class DueWheel<T> {
+export class TimerWheel<T> {
   private readonly buckets = new Map<number, T[]>()
   /** First bucket that was not taken yet; what is set for an earlier one goes there. */
   private openBucket = -Infinity
