--- a/packages/coordinator/src/index.ts
+++ b/packages/coordinator/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Takes jobs, places their tasks with owners and gathers whole answers.
+ * Accepts jobs, places their tasks with owners and combines the results into one answer per job.
  *
  * @packageDocumentation
  */
--- a/packages/coordinator/src/lib/ActivePolicies.ts
+++ b/packages/coordinator/src/lib/ActivePolicies.ts
@@ -7,9 +7,9 @@
 } from '@cherryhitch/policy'
 import type { PresetDefinition } from '@cherryhitch/protocol'
 
-/** The policies of the preset in force. @internal */
+/** The policies created from the preset in force. @internal */
 export class ActivePolicies {
-  /** What was learned of run times outlives a change of preset. */
+  /** Kept when the preset changes, so that learned run times are not lost. */
   readonly estimator = createRunTimeEstimator()
   router: OwnerRouter
   admission: Admission
@@ -24,7 +24,7 @@
     this.retries = createRetryBudget(preset)
   }
 
-  /** Puts a preset in force. An older version than the present one is ignored: none reverts. */
+  /** Applies a preset. Ignores a version older than the present one, so that no preset reverts. */
   apply(preset: PresetDefinition, version: number, current: boolean): void {
     if (version < this.version) return
     this.current = current
--- a/packages/coordinator/src/lib/CoordinatorAction.ts
+++ b/packages/coordinator/src/lib/CoordinatorAction.ts
@@ -1,7 +1,7 @@
 import type { SpanRecord } from '@cherryhitch/model'
 import type { ClaimEnd, Envelope, JobAnswer, KeyClaim } from '@cherryhitch/protocol'
 
-/** What a coordinator asks its shell to do. @public */
+/** Kinds of actions that the coordinator requests from its host. @public */
 export enum CoordinatorActionKind {
   Send = 'send',
   Reply = 'reply',
@@ -17,13 +17,13 @@
   | {
       readonly kind: CoordinatorActionKind.Reply
       readonly requestId: string
-      /** Undefined: no such job is known. */
+      /** Undefined if the job is unknown or belongs to another caller. */
       readonly answer: JobAnswer | undefined
     }
-  /** Claim the key durably; ClaimAnswered follows. */
+  /** Claims a submission key durably. The host answers with a ClaimAnswered event. */
   | { readonly kind: CoordinatorActionKind.Claim; readonly claim: KeyClaim }
-  /** Record the outcome of a claimed job. */
+  /** Records the answer of a claimed job, or releases its key if the answer is empty. */
   | { readonly kind: CoordinatorActionKind.EndClaim; readonly end: ClaimEnd }
   | { readonly kind: CoordinatorActionKind.Span; readonly span: SpanRecord }
-  /** Draining is over: no job is in flight. */
+  /** The coordinator has drained: it has no job in flight, and no request or answer is pending. */
   | { readonly kind: CoordinatorActionKind.Drained }
--- a/packages/coordinator/src/lib/CoordinatorContext.ts
+++ b/packages/coordinator/src/lib/CoordinatorContext.ts
@@ -12,7 +12,7 @@
 import type { DueItem } from './timers/DueItem'
 import type { TimerWheel } from './timers/TimerWheel'
 
-/** What the managers of one coordinator share. @internal */
+/** State and services shared by the components of one coordinator. @internal */
 export interface CoordinatorContext {
   readonly options: CoordinatorOptions
   readonly limits: CoordinatorLimits
--- a/packages/coordinator/src/lib/CoordinatorCounters.ts
+++ b/packages/coordinator/src/lib/CoordinatorCounters.ts
@@ -1,34 +1,34 @@
-/** What a coordinator counts; metrics read it. @public */
+/** Counters of a coordinator, exported as metrics. @public */
 export interface CoordinatorCounters {
   submitted: number
   refused: number
   succeeded: number
   failed: number
   cancelled: number
-  /** Callers whose connection closed before the answer. */
+  /** Callers that disconnected before they got an answer. */
   callersGone: number
   tasksPlaced: number
-  /** Of these, tasks placed again after they were truly not run. */
+  /** The part of `tasksPlaced` that was placed again after an earlier attempt did not run. */
   tasksPlacedAgain: number
   placeMessages: number
   cancelMessages: number
   fenceMessages: number
   reports: number
-  /** Reports for jobs that had ended. */
+  /** Reports for jobs that had already ended. */
   lateReports: number
-  /** Reports for tasks that already had a result, or from an owner that gave its word before. */
+  /** Reports for tasks that already had a result, or from an owner that had already reported. */
   repeatedReports: number
   /** Reports for jobs of another coordinator or boot, or for tasks that do not exist. */
   foreignReports: number
-  /** Reports from an owner that another one passed the task on to. */
+  /** Reports from an owner to which another owner had passed the task on. */
   passedOnReports: number
-  /** Owners lost with tasks of ours in flight. */
+  /** Owners that were lost or restarted with tasks of this coordinator in flight. */
   ownersLost: number
   /** Tasks whose outcome stays unknown because their owner was lost. */
   tasksLost: number
-  /** Requests sent on to other instances, resends included. */
+  /** Requests forwarded to other instances, including resends. */
   forwards: number
-  /** Replies from other instances that nobody waits for. */
+  /** Replies from other instances to requests that are not pending. */
   strayReplies: number
   claims: number
   /** Resends that joined a running job or got a kept answer. */
--- a/packages/coordinator/src/lib/CoordinatorEvent.ts
+++ b/packages/coordinator/src/lib/CoordinatorEvent.ts
@@ -10,7 +10,7 @@
   TaskReports,
 } from '@cherryhitch/protocol'
 
-/** What a coordinator can be told. @public */
+/** Kinds of events that a coordinator handles. @public */
 export enum CoordinatorEventKind {
   Submit = 'submit',
   Query = 'query',
@@ -22,7 +22,7 @@
   Drain = 'drain',
 }
 
-/** Messages from other instances that concern a coordinator. @public */
+/** Messages from other instances that are addressed to a coordinator. @public */
 export type CoordinatorMessage =
   | { readonly case: 'taskReports'; readonly value: TaskReports }
   | { readonly case: 'fenceReports'; readonly value: FenceReports }
@@ -32,7 +32,7 @@
 
 /** @public */
 export type CoordinatorEvent =
-  /** A caller's job; it gets exactly one Reply unless the caller goes first. */
+  /** A job submitted by a caller. It gets exactly one Reply unless the caller disconnects first. */
   | {
       readonly kind: CoordinatorEventKind.Submit
       /** Unique within this process. */
@@ -40,7 +40,10 @@
       readonly job: JobSpec
       readonly respondAsync: boolean
     }
-  /** A caller's question about a job, which may be another instance's; exactly one Reply. */
+  /**
+   * A caller's query about a job, which may belong to another instance. It gets exactly one Reply
+   * unless the caller disconnects first.
+   */
   | {
       readonly kind: CoordinatorEventKind.Query
       readonly requestId: string
@@ -49,19 +52,19 @@
       readonly cancel: boolean
       readonly wait: boolean
     }
-  /** The caller's connection closed before the Reply. */
+  /** The caller disconnected before the Reply. */
   | { readonly kind: CoordinatorEventKind.CallerGone; readonly requestId: string }
   | {
       readonly kind: CoordinatorEventKind.Message
       readonly from: string
       readonly message: CoordinatorMessage
     }
-  /** The answer to Claim. Undefined: the quorum could not be reached, and it is not claimed. */
+  /** The answer to a Claim action; undefined if the voters' quorum gave none. */
   | {
       readonly kind: CoordinatorEventKind.ClaimAnswered
       readonly jobId: string
       readonly answer: ClaimAnswer | undefined
-      /** With no answer: whether the claim may still be committed. */
+      /** Whether the claim may still be committed if there is no answer. */
       readonly mayBeClaimed: boolean
     }
   | { readonly kind: CoordinatorEventKind.Members; readonly members: readonly InstanceView[] }
@@ -69,7 +72,7 @@
       readonly kind: CoordinatorEventKind.Preset
       readonly preset: PresetDefinition
       readonly version: number
-      /** Whether the voters' quorum confirmed the version lately. */
+      /** Whether the voters' quorum confirmed the version recently. */
       readonly current: boolean
     }
   | { readonly kind: CoordinatorEventKind.Drain }
--- a/packages/coordinator/src/lib/CoordinatorMachine.random.test.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.random.test.ts
@@ -5,9 +5,9 @@
 
 const RUNS = 300
 
-describe('in randomised runs with losses, repeats, restarts and cancellations', () => {
+describe('in random runs with losses, repeated messages, restarts and cancellations', () => {
   for (const seed of [1, 2, 3]) {
-    it(`every promise of the coordinator holds (seed ${seed})`, () => {
+    it(`the invariants of the coordinator hold (seed ${seed})`, () => {
       const property = fc.property(randomMoves, (moves) => {
         const world = new FakeWorld()
         for (const move of moves) world.move(move)
--- a/packages/coordinator/src/lib/CoordinatorMachine.test.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.test.ts
@@ -20,8 +20,8 @@
   return fixture
 }
 
-describe('a job on its way', () => {
-  it('gets one whole answer, with the outputs in the order of the tasks', () => {
+describe('a job in flight', () => {
+  it('gets one answer for all tasks, with the outputs in the order of the tasks', () => {
     const fixture = started(3)
     fixture.report('a2', fixture.jobId, succeeded(2), succeeded(0))
     assert.deepEqual(fixture.replies('r1'), [])
@@ -33,7 +33,7 @@
     assert.equal(fixture.machine.jobsInFlight, 0)
   })
 
-  it('goes to each owner in one message that says who gets the reports', () => {
+  it('is sent to each owner in one message that names the coordinator to report to', () => {
     const fixture = started(4, ['a2', 'a3'])
     const messages = fixture.sent('placeTasks')
     assert.deepEqual(messages.map(({ to }) => to).sort(), ['a2', 'a3'])
@@ -45,7 +45,7 @@
     assert.deepEqual(indexes.sort(), [0, 1, 2, 3])
   })
 
-  it('may go to its own instance', () => {
+  it('can be placed on the instance of its coordinator', () => {
     const fixture = new CoordinatorFixture()
     fixture.members({ instance: SELF })
     const request = fixture.submit(makeSpec())
@@ -54,7 +54,7 @@
     assert.equal(fixture.reply(request)?.state, JobState.SUCCEEDED)
   })
 
-  it('leaves a span for itself and one for each hop, in one trace', () => {
+  it('records a span for itself and one for each placement, in one trace', () => {
     const fixture = started(2, ['a2', 'a3'])
     fixture.report('a2', fixture.jobId, succeeded(0), succeeded(1))
     fixture.report('a3', fixture.jobId, succeeded(0), succeeded(1))
@@ -70,7 +70,7 @@
     assert.deepEqual(sent.map((each) => each?.spanId).sort(), hops.map((hop) => hop.spanId).sort())
   })
 
-  it('fails at once, without any output, when one task fails; the rest is cancelled', () => {
+  it('fails at once and without outputs if one task fails, and cancels the other tasks', () => {
     const fixture = started(4, ['a2', 'a3'])
     const [first] = fixture.sent('placeTasks')
     const index = first?.value.tasks[0]?.index ?? 0
@@ -88,7 +88,7 @@
     ])
   })
 
-  it('fails at its deadline with the rest cancelled', () => {
+  it('fails at its deadline, and its unfinished tasks are cancelled', () => {
     const fixture = started(1)
     fixture.advance(9990)
     assert.deepEqual(fixture.replies('r1'), [])
@@ -98,7 +98,7 @@
     assert.equal(fixture.sent('cancelTasks').length, 1)
   })
 
-  it('is not run, truthfully, when every owner dropped its tasks just before the deadline', () => {
+  it('is reported as not run if every owner dropped its tasks just before the deadline', () => {
     const fixture = started(2, ['a2', 'a3'])
     const owners = fixture.sent('placeTasks')
     for (const { to, value } of owners) {
@@ -110,7 +110,7 @@
     assert.equal(fixture.reply('r1')?.reason, Reason.DEADLINE_PASSED)
   })
 
-  it('is dropped when its caller is gone and nobody can ask for it', () => {
+  it('is cancelled if its caller disconnects and its answer can not be fetched later', () => {
     const fixture = started(1)
     fixture.callerGone('r1')
     assert.equal(fixture.machine.jobsInFlight, 0)
@@ -119,8 +119,8 @@
   })
 })
 
-describe('a wave of cancellations', () => {
-  it('reaches an owner in few messages with many jobs each', () => {
+describe('cancellations', () => {
+  it('are sent to an owner in batches of many jobs', () => {
     const fixture = new CoordinatorFixture()
     fixture.members({ instance: SELF, slots: 0 }, { instance: 'a2' })
     const requests = Array.from({ length: 100 }, () => fixture.submit(makeSpec()))
@@ -132,7 +132,7 @@
     assert.equal(messages.length, 2)
   })
 
-  it('waits for an owner whose link is down', () => {
+  it('are held back while the owner is not reachable', () => {
     const fixture = started(1)
     fixture.members({ instance: SELF, slots: 0 }, { instance: 'a2', alive: false })
     fixture.callerGone('r1')
@@ -143,7 +143,7 @@
   })
 })
 
-describe('a refusal is given at once and is true', () => {
+describe('a job is refused immediately, as not run', () => {
   const cases = [
     {
       name: 'no owner offers the service',
@@ -156,24 +156,24 @@
       reason: Reason.NO_ENDPOINT,
     },
     {
-      name: 'the only owner drains',
+      name: 'the only owner is draining',
       members: [{ instance: 'a2', state: InstanceState.DRAINING }],
       reason: Reason.NO_ENDPOINT,
     },
     {
-      name: 'there is no task',
+      name: 'it has no tasks',
       members: [{ instance: 'a2' }],
       spec: { tasks: 0 },
       reason: Reason.NEVER_FITS,
     },
     {
-      name: 'there are too many tasks',
+      name: 'it has too many tasks',
       members: [{ instance: 'a2' }],
       spec: { tasks: 10_001 },
       reason: Reason.NEVER_FITS,
     },
     {
-      name: 'the deadline has passed',
+      name: 'its deadline has passed',
       members: [{ instance: 'a2' }],
       spec: { deadlineInMs: -1 },
       reason: Reason.DEADLINE_PASSED,
@@ -192,7 +192,7 @@
     })
   }
 
-  it('when the preset admits no more jobs, until one ends', () => {
+  it('when the preset admits no more jobs, until a job ends', () => {
     const fixture = new CoordinatorFixture()
     fixture.members({ instance: 'a2' })
     const preset = { ...testPreset, jobsInFlightPerInstance: 1 }
@@ -207,7 +207,7 @@
     assert.deepEqual(fixture.replies(fixture.submit(makeSpec())), [])
   })
 
-  it('under the newest preset: an older one does not come back', () => {
+  it('under the newest preset, which an older one does not replace', () => {
     const fixture = new CoordinatorFixture()
     fixture.members({ instance: 'a2' })
     const closed = { ...testPreset, jobsInFlightPerInstance: 0 }
@@ -223,7 +223,7 @@
 })
 
 describe('draining', () => {
-  it('refuses new jobs, finishes the others, and says once that it is done', () => {
+  it('refuses new jobs, finishes the others and reports once that it has drained', () => {
     const fixture = started(1)
     fixture.step({ kind: CoordinatorEventKind.Drain })
     const refused = fixture.reply(fixture.submit(makeSpec()))
@@ -240,7 +240,7 @@
 
 describe('a draining coordinator', () => {
   for (const isRead of [true, false]) {
-    it(`waits for answers to be fetched, for a while: ${isRead ? 'fetched' : 'not fetched'}`, () => {
+    it(`waits a while for answers to be fetched: ${isRead ? 'fetched' : 'not fetched'}`, () => {
       const fixture = new CoordinatorFixture()
       fixture.members({ instance: 'a2' })
       const jobId = fixture.reply(fixture.submit(makeSpec(), true))?.jobId ?? ''
@@ -255,8 +255,8 @@
   }
 })
 
-describe('placing by offers', () => {
-  it('counts what it placed until a new summary holds it', () => {
+describe('placement by offers', () => {
+  it('counts tasks that it placed until a new summary includes them', () => {
     const fixture = new CoordinatorFixture()
     fixture.members({ instance: 'a2', slots: 8 }, { instance: 'a3', slots: 8 })
     for (let i = 0; i < 16; i++) fixture.submit(makeSpec())
@@ -264,7 +264,7 @@
     assert.equal(owners.filter((to) => to === 'a2').length, 8)
   })
 
-  it('leaves a silent owner out while another one offers the service', () => {
+  it('does not use a silent owner while another one offers the service', () => {
     const fixture = new CoordinatorFixture()
     const heardAt = fixture.now - 1600
     fixture.members({ instance: 'a2', slots: 80, heardAt }, { instance: 'a3', slots: 1 })
--- a/packages/coordinator/src/lib/CoordinatorMachine.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.ts
@@ -34,7 +34,12 @@
 const deadlinePassed = problem(Reason.DEADLINE_PASSED, 'The deadline passed.')
 const callerGone = problem(Reason.CANCELLED, 'The caller closed its connection.')
 
-/** Coordinates the jobs of one instance: a thin host over the managers of its areas. @public */
+/**
+ * State machine that coordinates the jobs of one instance. Passes each event and timer to the
+ * component that handles it.
+ *
+ * @public
+ */
 export class CoordinatorMachine extends Machine<CoordinatorEvent, CoordinatorAction> {
   private readonly context: CoordinatorContext
   private readonly completion: JobEnding
@@ -54,20 +59,26 @@
     this.context = createContext(options)
     const flight = new TaskFlight(this.context)
     const placement = new TaskPlacement(this.context, flight)
-    const ending = new JobEnding(this.context, flight)
-    this.completion = ending
-    this.jobIntake = new JobDesk(this.context, placement, ending)
-    this.retries = new Retries(this.context, placement, ending)
-    this.reports = new ReportDesk(this.context, flight, this.retries, ending)
-    this.lossDetector = new LossWatch(this.context, flight, this.reports, this.retries, ending)
+    const completion = new JobEnding(this.context, flight)
+    this.completion = completion
+    this.jobIntake = new JobDesk(this.context, placement, completion)
+    this.retries = new Retries(this.context, placement, completion)
+    this.reports = new ReportDesk(this.context, flight, this.retries, completion)
+    this.lossDetector = new LossWatch(this.context, flight, this.reports, this.retries, completion)
     this.forwarding = new Forwarding(this.context)
-    this.claims = new ClaimDesk(this.context, this.jobIntake, ending, this.forwarding)
+    this.claims = new ClaimDesk(this.context, this.jobIntake, completion, this.forwarding)
     this.keyedJobs = new KeyedJobHandler(this.context, this.jobIntake, this.claims, this.forwarding)
     this.answerRecorder = new AnswerKeeper(this.context)
-    const { answerRecorder: keeper } = this
-    this.queries = new QueryDesk(this.context, ending, this.claims, this.forwarding, keeper)
-    ending.listen((now, job, answer, before) => {
-      keeper.onJobEnded(now, job, answer, before)
+    const { answerRecorder } = this
+    this.queries = new QueryDesk(
+      this.context,
+      completion,
+      this.claims,
+      this.forwarding,
+      answerRecorder,
+    )
+    completion.listen((now, job, answer, phaseBefore) => {
+      answerRecorder.onJobEnded(now, job, answer, phaseBefore)
     })
   }
 
@@ -79,7 +90,7 @@
     return this.context.jobs.size
   }
 
-  /** Jobs in flight for operators, oldest first; bounded by `limits.listedJobs`. */
+  /** The jobs in flight, as listed for operators: oldest first, at most `limits.listedJobs`. */
   jobs(): readonly JobAnswer[] {
     const listed: JobAnswer[] = []
     for (const job of this.context.jobs.all()) {
@@ -95,20 +106,21 @@
   }
 
   override tick(now: number): readonly CoordinatorAction[] {
-    for (const item of this.context.due.takeDue(now)) this.handleTimer(now, item)
+    for (const timer of this.context.due.takeDue(now)) this.handleTimer(now, timer)
     this.context.answers.expire(now)
     this.answerRecorder.expire(now)
     return this.takeActions(now)
   }
 
   private takeActions(now: number): readonly CoordinatorAction[] {
-    const isBusy = this.context.jobs.size + this.forwarding.size + this.answerRecorder.unreadCount > 0
-    const isLast = this.jobIntake.draining && !this.reportedDrained && !isBusy
-    if (isLast) {
+    const isBusy =
+      this.context.jobs.size + this.forwarding.size + this.answerRecorder.unreadCount > 0
+    const hasDrained = this.jobIntake.draining && !this.reportedDrained && !isBusy
+    if (hasDrained) {
       this.reportedDrained = true
       this.context.outbox.drained()
     }
-    return this.context.outbox.takeActions(now, isLast)
+    return this.context.outbox.takeActions(now, hasDrained)
   }
 
   private handleEvent(now: number, event: CoordinatorEvent): void {
@@ -195,7 +207,10 @@
     this.lossDetector.confirmFences(now)
   }
 
-  /** Nobody waits for the answer of a job that can't be asked for later: it is given up. */
+  /**
+   * Detaches a caller that disconnected. Its job is cancelled if no other request waits for it and
+   * its answer can't be fetched later, because it has no key and was not submitted asynchronously.
+   */
   private handleCallerGone(now: number, requestId: string): void {
     const request = this.context.requests.close(requestId)
     if (request === undefined) return
@@ -211,36 +226,36 @@
     this.completion.cancel(now, job, callerGone)
   }
 
-  private handleTimer(now: number, item: DueItem): void {
-    switch (item.kind) {
+  private handleTimer(now: number, timer: DueItem): void {
+    switch (timer.kind) {
       case DueKind.Deadline:
-        this.withJob(item.sequence, (job) => {
+        this.withJob(timer.sequence, (job) => {
           this.completion.fail(now, job, deadlinePassed)
         })
         return
       case DueKind.AskAfterLate:
-        this.withJob(item.sequence, (job) => {
+        this.withJob(timer.sequence, (job) => {
           this.lossDetector.askAfterLate(now, job)
         })
         return
       case DueKind.Retry:
-        this.withJob(item.sequence, (job) => {
-          this.retries.placeAgain(now, job, item.indexes, item.giveUpAt)
+        this.withJob(timer.sequence, (job) => {
+          this.retries.placeAgain(now, job, timer.indexes, timer.giveUpAt)
         })
         return
       case DueKind.OwnerGone:
-        this.lossDetector.ownerGone(now, item.owner, item.boot)
+        this.lossDetector.ownerGone(now, timer.owner, timer.boot)
         return
       case DueKind.ForwardLate:
-        this.forwarding.checkLate(now, item.forwardId)
+        this.forwarding.checkLate(now, timer.forwardId)
         return
       default:
-        exhaustive(item)
+        exhaustive(timer)
     }
   }
 
-  private withJob(sequence: number, act: (job: Job) => void): void {
+  private withJob(sequence: number, action: (job: Job) => void): void {
     const job = this.context.jobs.get(sequence)
-    if (job !== undefined) act(job)
+    if (job !== undefined) action(job)
   }
 }
--- a/packages/coordinator/src/lib/CoordinatorOptions.ts
+++ b/packages/coordinator/src/lib/CoordinatorOptions.ts
@@ -1,18 +1,18 @@
 import type { PresetDefinition } from '@cherryhitch/protocol'
 
-/** Bounds on what a coordinator keeps. @public */
+/** Limits on the state that a coordinator keeps. @public */
 export interface CoordinatorLimits {
-  /** Tasks that one job may have. */
+  /** Maximum number of tasks in one job. */
   readonly tasksPerJob: number
-  /** Answers kept for later questions and for resends with a key. */
+  /** Maximum number of answers kept for later queries and for resends with a key. */
   readonly keptAnswers: number
-  /** Characters of output in all kept answers together. */
+  /** Maximum number of characters in all kept answers together, with a fixed overhead for each. */
   readonly keptAnswerChars: number
-  /** Jobs in the list for operators. */
+  /** Maximum number of jobs listed for operators. */
   readonly listedJobs: number
-  /** Claims given up before their outcome was known, whose "not run" is remembered. */
+  /** Maximum number of jobs remembered as not run that ended before their claim was answered. */
   readonly abandonedClaims: number
-  /** Jobs whose cancellation is kept for one silent owner until its link is back. */
+  /** Maximum number of cancellations buffered for one unreachable owner until it is reachable. */
   readonly pendingCancelsPerOwner: number
 }
 
@@ -26,39 +26,43 @@
   pendingCancelsPerOwner: 10_000,
 }
 
-/** All in milliseconds. @public */
+/** Durations in milliseconds. @public */
 export interface CoordinatorTiming {
-  /** How long an endpoint runs a task on without a renewal from its owner. */
+  /** How long an endpoint keeps running a task without a lease renewal from the task's owner. */
   readonly leaseMs: number
-  /** Added to the lease before a lost owner's tasks count as stopped: clocks drift. */
+  /** Added to the lease before a lost owner's tasks count as stopped, to allow for clock drift. */
   readonly leaseMarginMs: number
-  /** Offers of an owner that was silent for longer are used only when there is no other. */
+  /** Offers of an owner that is silent for longer are used only if there are no others. */
   readonly ownerSilenceLimitMs: number
-  /** Deadline of a job that names none. */
+  /** Time to the deadline of a job that was submitted without one. */
   readonly defaultDeadlineMs: number
   readonly maxDeadlineMs: number
-  /** How much earlier than the caller's the deadline is that owners are told. */
+  /** How much earlier than the caller's deadline the deadline sent to owners is. */
   readonly ownerDeadlineMarginMs: number
-  /** How long answers are kept. */
+  /** How long answers of ended jobs are kept. */
   readonly answerRetentionMs: number
-  /** How long another instance may take before it is asked again. */
+  /** Time after which a request to another instance is resent if it was not answered. */
   readonly forwardTimeoutMs: number
-  /** How long a task whose owner drains or lost its endpoints waits for another owner. */
+  /** How long a task waits for a new owner after its owner drained or lost its endpoints. */
   readonly ownerPatienceMs: number
-  /** While it drains, an answer that nobody fetched yet is held for this long. */
+  /** How long a draining coordinator holds an answer that no caller has fetched yet. */
   readonly drainAnswerHoldMs: number
-  /** A task this much later than expected is asked after at its owner. */
+  /**
+   * Minimum time after a placement at which the owner is queried about tasks without a report. The
+   * interval between queries about one job starts at this value and doubles with each query.
+   */
   readonly askAfterMs: number
-  /** The first question comes after this at the latest, however long the wait is expected to be. */
+  /** Maximum time until the first query, however long the tasks are expected to take. */
   readonly askAfterMaxMs: number
   /**
-   * An owner's "never seen" counts for tasks placed this lately. It has to be shorter than owners
-   * remember ended tasks, which is 60 s: one that forgot a task would seem never to have seen it.
+   * An owner's report that it has never seen a task is trusted only if the task was placed within
+   * this time. It must be shorter than the 60 s for which owners remember ended tasks, because an
+   * owner that has forgotten an ended task also reports it as never seen.
    */
   readonly fenceTrustMs: number
-  /** Longest time between two such questions about one job. */
+  /** Maximum interval between queries about one job and between resends of a forwarded request. */
   readonly askEveryMaxMs: number
-  /** Least time between two messages of cancellations to one owner; waves are sent together. */
+  /** Minimum interval between cancellation messages to one owner; each carries a batch. */
   readonly cancelBatchMs: number
 }
 
@@ -85,11 +89,11 @@
 export interface CoordinatorOptions {
   readonly instance: string
   readonly zone: string
-  /** Boot number of this process; part of each job id. */
+  /** Boot number of this process; part of every job id. */
   readonly boot: number
-  /** In force until the first Preset event. */
+  /** Preset that applies until the first Preset event. */
   readonly preset: PresetDefinition
-  /** Share of the limits that a caller gets, against the others; 1 where none is given. */
+  /** Relative share of the limits for each caller; the weight of a caller not listed is 1. */
   readonly callerWeights?: ReadonlyMap<string, number>
   readonly limits?: Partial<CoordinatorLimits>
   readonly timing?: Partial<CoordinatorTiming>
--- a/packages/coordinator/src/lib/Outbox.ts
+++ b/packages/coordinator/src/lib/Outbox.ts
@@ -23,14 +23,14 @@
 /** @internal */
 export interface OutboxOptions {
   readonly counters: CoordinatorCounters
-  /** Least time between two messages of cancellations to one owner. */
+  /** Minimum interval between cancellation messages to one owner. */
   readonly cancelBatchMs: number
-  /** Cancellations kept for an owner that can't be reached. */
+  /** Maximum number of cancellations buffered for one owner; the oldest is dropped first. */
   readonly pendingCancelsPerOwner: number
   readonly isReachable: (instance: string) => boolean
 }
 
-/** Collects the actions of a step. @internal */
+/** Collects the actions of a step, and batches the cancellations to each owner. @internal */
 export class Outbox {
   private actions: CoordinatorAction[] = []
   private readonly pendingCancels = new Map<string, PendingCancels>()
@@ -38,9 +38,9 @@
   constructor(private readonly options: OutboxOptions) {}
 
   send(to: string, body: EnvelopeBody): void {
-    const made = create(EnvelopeSchema)
-    made.body = body
-    this.actions.push({ kind: CoordinatorActionKind.Send, to, envelope: made })
+    const message = create(EnvelopeSchema)
+    message.body = body
+    this.actions.push({ kind: CoordinatorActionKind.Send, to, envelope: message })
   }
 
   reply(waiter: Waiter, answer: JobAnswer | undefined): void {
@@ -50,8 +50,8 @@
       return
     }
     const value = answer === undefined ? { requestId } : { requestId, answer }
-    const made = envelope({ case: 'jobReply', value })
-    this.actions.push({ kind: CoordinatorActionKind.Send, to: waiter.instance, envelope: made })
+    const message = envelope({ case: 'jobReply', value })
+    this.actions.push({ kind: CoordinatorActionKind.Send, to: waiter.instance, envelope: message })
   }
 
   claim(claim: KeyClaim): void {
@@ -71,43 +71,43 @@
     this.actions.push({ kind: CoordinatorActionKind.Drained })
   }
 
-  /** Tells an owner, with the next batch, that no task of the job is wanted any more. */
+  /** Adds the cancellation of a job's tasks to the owner's next batch. */
   cancel(owner: string, jobId: string, reason: Reason): void {
-    let owed = this.pendingCancels.get(owner)
-    if (owed === undefined) {
-      owed = { jobs: [], sentAt: -Infinity }
-      this.pendingCancels.set(owner, owed)
+    let pending = this.pendingCancels.get(owner)
+    if (pending === undefined) {
+      pending = { jobs: [], sentAt: -Infinity }
+      this.pendingCancels.set(owner, pending)
     }
-    owed.jobs.push(create(CancelledJobSchema, { jobId, reason }))
-    if (owed.jobs.length > this.options.pendingCancelsPerOwner) owed.jobs.shift()
+    pending.jobs.push(create(CancelledJobSchema, { jobId, reason }))
+    if (pending.jobs.length > this.options.pendingCancelsPerOwner) pending.jobs.shift()
   }
 
-  /** The owner is gone, and with it what it might have cancelled. */
+  /** Discards the cancellations for an owner that restarted and so lost the tasks they refer to. */
   forgetCancels(owner: string): void {
     this.pendingCancels.delete(owner)
   }
 
   /**
-   * Takes out the actions; cancellations that follow closely on others wait for a tick, unless
-   * this is the last step.
+   * Removes and returns the collected actions. Cancellations to an owner that got a batch less than
+   * `cancelBatchMs` ago wait for a later step, unless this is the last one.
    */
   takeActions(now: number, isLast: boolean): readonly CoordinatorAction[] {
-    for (const [owner, owed] of this.pendingCancels) {
-      if (owed.jobs.length === 0) continue
-      if (now - owed.sentAt < this.options.cancelBatchMs && !isLast) continue
+    for (const [owner, pending] of this.pendingCancels) {
+      if (pending.jobs.length === 0) continue
+      if (now - pending.sentAt < this.options.cancelBatchMs && !isLast) continue
       if (!this.options.isReachable(owner)) continue
-      this.sendCancels(now, owner, owed)
+      this.sendCancels(now, owner, pending)
     }
-    const taken = this.actions
+    const actions = this.actions
     this.actions = []
-    return taken
+    return actions
   }
 
-  private sendCancels(now: number, owner: string, owed: PendingCancels): void {
+  private sendCancels(now: number, owner: string, pending: PendingCancels): void {
     this.options.counters.cancelMessages++
-    const made = envelope({ case: 'cancelTasks', value: { jobs: owed.jobs } })
-    this.actions.push({ kind: CoordinatorActionKind.Send, to: owner, envelope: made })
-    owed.jobs = []
-    owed.sentAt = now
+    const message = envelope({ case: 'cancelTasks', value: { jobs: pending.jobs } })
+    this.actions.push({ kind: CoordinatorActionKind.Send, to: owner, envelope: message })
+    pending.jobs = []
+    pending.sentAt = now
   }
 }
--- a/packages/coordinator/src/lib/answers/AnswerCache.ts
+++ b/packages/coordinator/src/lib/answers/AnswerCache.ts
@@ -1,6 +1,6 @@
 import type { JobAnswer } from '@cherryhitch/protocol'
 
-/** Counted for each kept answer beside its outputs. */
+/** Fixed size counted for each answer, in addition to its outputs and its detail text. */
 const ANSWER_OVERHEAD_CHARS = 300
 
 /** @internal */
@@ -8,12 +8,12 @@
   readonly jobId: string
   readonly caller: string
   readonly answer: JobAnswer
-  /** Entry in the book of keys that goes with this answer; empty when there is none. */
+  /** Id of the submission key entry that refers to this answer; empty for a job without a key. */
   readonly keyId: string
 }
 
 interface Entry {
-  readonly kept: CachedAnswer
+  readonly cached: CachedAnswer
   readonly chars: number
   readonly expiresAt: number
 }
@@ -23,12 +23,12 @@
   readonly retentionMs: number
   readonly maxAnswers: number
   readonly maxChars: number
-  readonly onEvicted: (kept: CachedAnswer) => void
+  readonly onEvicted: (cached: CachedAnswer) => void
 }
 
 /**
- * Answers of ended jobs for later questions, bounded by time, number and size. All are kept for
- * the same time, so the oldest one is always the next to go.
+ * Answers of ended jobs for later queries, bounded by age, number and total size. All have the same
+ * retention period, so entries expire and are evicted in insertion order.
  *
  * @internal
  */
@@ -42,17 +42,17 @@
     return this.entries.size
   }
 
-  add(now: number, kept: CachedAnswer): void {
-    const chars = answerChars(kept.answer)
+  add(now: number, cached: CachedAnswer): void {
+    const chars = answerChars(cached.answer)
     const expiresAt = now + this.options.retentionMs
-    this.entries.set(kept.jobId, { kept, chars, expiresAt })
+    this.entries.set(cached.jobId, { cached, chars, expiresAt })
     this.chars += chars
     this.enforceBounds()
   }
 
   get(now: number, jobId: string): CachedAnswer | undefined {
     const entry = this.entries.get(jobId)
-    return entry === undefined || entry.expiresAt <= now ? undefined : entry.kept
+    return entry === undefined || entry.expiresAt <= now ? undefined : entry.cached
   }
 
   expire(now: number): void {
@@ -71,9 +71,9 @@
   }
 
   private evict(entry: Entry): void {
-    this.entries.delete(entry.kept.jobId)
+    this.entries.delete(entry.cached.jobId)
     this.chars -= entry.chars
-    this.options.onEvicted(entry.kept)
+    this.options.onEvicted(entry.cached)
   }
 }
 
--- a/packages/coordinator/src/lib/answers/AnswerKeeper.ts
+++ b/packages/coordinator/src/lib/answers/AnswerKeeper.ts
@@ -6,18 +6,18 @@
 import { formatKeyId } from '../keys/KeyBook'
 
 /**
- * Keeps the answers that somebody may ask for later: of jobs answered asynchronously, and of jobs
- * with a key. The answer of any other job went to its one caller.
+ * Stores the answers that may be requested later: those of asynchronous jobs and of jobs with a
+ * submission key. The answer to any other job is sent to its only caller and not kept.
  *
  * @internal
  */
 export class AnswerKeeper {
-  /** Asynchronous jobs whose answer nobody has yet, by the time of their end. */
+  /** Asynchronous jobs whose answer no caller has fetched yet, in the order in which they ended. */
   private readonly endedAtByUnreadJob = new Map<string, number>()
 
   constructor(private readonly context: CoordinatorContext) {}
 
-  /** Answers that a draining instance waits for a while to give. */
+  /** Number of answers not fetched yet, for which a draining instance waits a limited time. */
   get unreadCount(): number {
     return this.endedAtByUnreadJob.size
   }
@@ -33,7 +33,7 @@
     }
   }
 
-  onJobEnded(now: number, job: Job, answer: JobAnswer, before: JobPhase): void {
+  onJobEnded(now: number, job: Job, answer: JobAnswer, phaseBefore: JobPhase): void {
     if (!job.respondAsync && !job.isKeyed) return
     const keyId = job.isKeyed ? formatKeyId(job.caller, job.spec.submissionKey) : ''
     if (job.respondAsync && job.waiters.length === 0) this.endedAtByUnreadJob.set(job.id, now)
@@ -41,18 +41,21 @@
     const entry = this.context.keys.get(keyId)
     if (entry?.jobId !== job.id) return
     entry.isRunning = false
-    entry.answersAnyResend = isAnswerForAnyResend(job, answer, before)
-    entry.answeredWaiters = [...job.waiters]
+    entry.answersAnyResend = isAnswerForAnyResend(job, answer, phaseBefore)
+    entry.repliedTo = [...job.waiters]
   }
 }
 
 /**
- * Whether a resend with the key gets this answer. A job that may run again does so after a
- * failure, or the caller could never mend it; one that must not run twice gets it always, unless
- * it truly did not run or the voters know more.
+ * Whether every resend with the key gets this answer.
+ *
+ * An idempotent job runs again after a failure, because otherwise the caller could never recover
+ * under that key. A non-idempotent job must not run twice, so a resend gets its answer, with two
+ * exceptions: the job did not run, or it ended while its key was being claimed or was held by
+ * another job, in which case a resend has to claim the key again.
  */
-function isAnswerForAnyResend(job: Job, answer: JobAnswer, before: JobPhase): boolean {
+function isAnswerForAnyResend(job: Job, answer: JobAnswer, phaseBefore: JobPhase): boolean {
   if (answer.state === JobState.SUCCEEDED) return true
-  if (job.spec.idempotent || before !== JobPhase.Running) return false
+  if (job.spec.idempotent || phaseBefore !== JobPhase.Running) return false
   return answer.outcome !== Outcome.NOT_RUN
 }
--- a/packages/coordinator/src/lib/createContext.ts
+++ b/packages/coordinator/src/lib/createContext.ts
@@ -14,7 +14,7 @@
 import type { DueItem } from './timers/DueItem'
 import { TimerWheel } from './timers/TimerWheel'
 
-/** Makes the books that the managers of one coordinator share. @internal */
+/** Creates the state and services shared by the components of one coordinator. @internal */
 export function createContext(options: CoordinatorOptions): CoordinatorContext {
   const limits = { ...defaultCoordinatorLimits, ...options.limits }
   const timing = { ...defaultCoordinatorTiming, ...options.timing }
--- a/packages/coordinator/src/lib/keys/ClaimDesk.test.ts
+++ b/packages/coordinator/src/lib/keys/ClaimDesk.test.ts
@@ -40,7 +40,7 @@
   return fixture.of(CoordinatorActionKind.Claim).map(({ claim }) => claim.jobId)
 }
 
-/** How claims were ended: the outcome of the stored answer, or that the key was given back. */
+/** How claims were ended: the outcome of the stored answer, or that the key was released. */
 function ends(fixture: CoordinatorFixture): readonly string[] {
   return fixture.of(CoordinatorActionKind.EndClaim).map(({ end }) => {
     if (end.answer.length === 0) return `${end.jobId} released`
@@ -77,7 +77,7 @@
     assert.equal(ends(fixture).length, 1)
   })
 
-  it('joins a resend while the claim is on its way, with one claim for both', () => {
+  it('is joined by resends while its claim is pending, with one claim for all of them', () => {
     const { fixture, jobId } = claiming()
     const again = fixture.submit(notice())
     const later = fixture.submit(notice(), true)
@@ -89,7 +89,7 @@
     assert.deepEqual(claimedIds(fixture), [jobId])
   })
 
-  it('is refused before its claim when it is not admitted', () => {
+  it('is refused without a claim if it is not admitted', () => {
     const fixture = new CoordinatorFixture()
     fixture.step({ kind: CoordinatorEventKind.Drain })
     assert.equal(fixture.reply(fixture.submit(notice()))?.outcome, Outcome.NOT_RUN)
@@ -107,7 +107,7 @@
     })
   }
 
-  it('gives its key back when it truly did not run, so that a resend may', () => {
+  it('releases its key if it did not run, so that a resend can run', () => {
     const { fixture, jobId } = claiming()
     fixture.claimAnswered(jobId, granted)
     fixture.report(SELF, jobId, notRun(0, Reason.TOO_LATE))
@@ -120,7 +120,7 @@
     assert.equal(fixture.placed.length, 2)
   })
 
-  it('gives its key back when no owner is left once the claim is granted', () => {
+  it('releases its key if no owner is left when the claim is granted', () => {
     const { fixture, jobId } = claiming()
     fixture.members({ instance: SELF, slots: 0 })
     fixture.claimAnswered(jobId, granted)
@@ -131,7 +131,7 @@
 
 describe('a claim without an answer', () => {
   const cases = [
-    { name: 'that was not made', mayBeClaimed: false, released: false },
+    { name: 'that was not committed', mayBeClaimed: false, released: false },
     { name: 'that may still be committed', mayBeClaimed: true, released: true },
   ]
   for (const { name, mayBeClaimed, released } of cases) {
@@ -148,7 +148,7 @@
     })
   }
 
-  it('that comes late after all dispatches nothing, and the key is given back again', () => {
+  it('that is granted late after all dispatches nothing, and the key is released again', () => {
     const { fixture, jobId } = claiming()
     fixture.claimAnswered(jobId, undefined, true)
     fixture.claimAnswered(jobId, granted)
@@ -156,7 +156,7 @@
     assert.equal(ends(fixture).length, 2)
   })
 
-  it('is remembered: a resend elsewhere that finds the claim is told that it did not run', () => {
+  it('is remembered: an instance that finds the claim is told that the job did not run', () => {
     const { fixture, jobId } = claiming()
     fixture.claimAnswered(jobId, undefined, true)
     fixture.advance(400_000)
@@ -183,7 +183,7 @@
     },
   ]
   for (const { name, state, end } of endings) {
-    it(`ends its job ${name} as not run, for good`, () => {
+    it(`leaves its job not run for good if the job ends ${name}`, () => {
       const { fixture, jobId } = claiming()
       end(fixture, jobId)
       assert.equal(fixture.reply('r1')?.state, state)
@@ -196,7 +196,7 @@
 })
 
 describe('a key that is held', () => {
-  it('answers with the kept answer of the job that ended', () => {
+  it('by a job that has ended gives the stored answer of that job', () => {
     const { fixture, jobId } = claiming()
     const answer = toBinary(JobAnswerSchema, done)
     fixture.claimAnswered(jobId, { ...heldRunning, state: ClaimState.ENDED, answer })
@@ -205,7 +205,7 @@
     assert.deepEqual(ends(fixture), [])
   })
 
-  it('by a live coordinator is waited for there', () => {
+  it('by a job at a live coordinator makes the resend wait for that job', () => {
     const { fixture, jobId } = claiming()
     fixture.claimAnswered(jobId, heldRunning)
     const [asked] = fixture.sent('jobQuery')
@@ -217,7 +217,7 @@
     assert.deepEqual(fixture.placed, [])
   })
 
-  it('by a live coordinator names the job to one that does not wait', () => {
+  it('by a job at a live coordinator gives its id to an asynchronous request', () => {
     const { fixture, jobId } = claiming(true)
     fixture.claimAnswered(jobId, heldRunning)
     assert.equal(fixture.reply('r1')?.state, JobState.RUNNING)
@@ -225,7 +225,7 @@
     assert.equal(fixture.machine.jobsInFlight, 0)
   })
 
-  it('by a live coordinator that forgot the job leaves the outcome unknown', () => {
+  it('by a job that its live coordinator no longer knows leaves the outcome unknown', () => {
     const { fixture, jobId } = claiming()
     fixture.claimAnswered(jobId, heldRunning)
     holderReplies(fixture, undefined)
@@ -233,7 +233,7 @@
     assert.equal(fixture.reply('r1')?.outcome, Outcome.UNKNOWN)
   })
 
-  it('by a coordinator that dies meanwhile leaves the outcome unknown', () => {
+  it('by a job whose coordinator restarts meanwhile leaves the outcome unknown', () => {
     const { fixture, jobId } = claiming()
     fixture.claimAnswered(jobId, heldRunning)
     fixture.members({ instance: SELF }, { instance: 'a2', boot: 2 })
@@ -242,7 +242,7 @@
     assert.equal(fixture.replies('r1').length, 1)
   })
 
-  it('and awaited past the deadline leaves the outcome unknown', () => {
+  it('by a job that has not ended at the deadline leaves the outcome unknown', () => {
     const { fixture, jobId } = claiming()
     fixture.claimAnswered(jobId, heldRunning)
     fixture.advance(10_020)
@@ -251,10 +251,10 @@
   })
 
   const dead = [
-    { name: 'an earlier boot', jobId: 'a2.0.5' },
-    { name: 'an instance that is not known', jobId: 'z9.1.5' },
+    { name: 'an earlier boot of another instance', jobId: 'a2.0.5' },
+    { name: 'an unknown instance', jobId: 'z9.1.5' },
     { name: 'an earlier boot of this instance', jobId: `${SELF}.1.5` },
-    { name: 'a job of this boot that is forgotten', jobId: `${SELF}.2s.zz` },
+    { name: 'a job of this boot that is no longer known', jobId: `${SELF}.2s.zz` },
   ]
   for (const { name, jobId: holder } of dead) {
     it(`by ${name} is never run again`, () => {
@@ -266,7 +266,7 @@
     })
   }
 
-  it('by a job of this coordinator whose local entry is gone is joined here', () => {
+  it('by a running job of this coordinator without a local key entry is joined', () => {
     const fixture = new CoordinatorFixture()
     fixture.members({ instance: SELF })
     const running = fixture.reply(fixture.submit(makeSpec(), true))?.jobId ?? ''
--- a/packages/coordinator/src/lib/keys/ClaimDesk.ts
+++ b/packages/coordinator/src/lib/keys/ClaimDesk.ts
@@ -41,7 +41,7 @@
   'A job with this key may have run at a coordinator that is lost; it is not run again.',
 )
 
-/** What is remembered of a job that was given up before its claim was answered. @internal */
+/** A job that ended before its claim was answered. @internal */
 export interface AbandonedClaim {
   readonly caller: string
   readonly submissionKey: string
@@ -49,8 +49,8 @@
 }
 
 /**
- * Claims the keys of non-idempotent jobs in the quorum. A job is dispatched only after its claim
- * was granted, and only once.
+ * Claims the submission keys of non-idempotent jobs from the voters' quorum. A job is dispatched
+ * only after its claim was granted, and only once.
  *
  * @internal
  */
@@ -63,8 +63,8 @@
     private readonly completion: JobEnding,
     private readonly forwarding: Forwarding,
   ) {
-    completion.listen((now, job, answer, before) => {
-      this.onJobEnded(now, job, answer, before)
+    completion.listen((now, job, answer, phaseBefore) => {
+      this.onJobEnded(now, job, answer, phaseBefore)
     })
   }
 
@@ -81,7 +81,7 @@
     )
   }
 
-  /** The answer that an abandoned job got; it truly did not run. */
+  /** The answer to a job that ended before its claim was answered, and so did not run. */
   abandonedAnswer(jobId: string, caller: string): JobAnswer | undefined {
     const claim = this.abandoned.get(jobId)
     return claim?.caller === caller ? claim.answer : undefined
@@ -132,7 +132,8 @@
         return
       case ClaimVerdict.UNSPECIFIED:
       default:
-        // Not understood, so it may be claimed: the release makes the refusal true for good.
+        // An unknown verdict may mean that the claim was committed. Releasing the key ensures that
+        // the refused job stays not run.
         this.completion.refuse(now, job, noQuorum)
         this.resolveAbandoned(now, job.id, undefined, true)
     }
@@ -144,7 +145,7 @@
     this.jobIntake.start(now, job)
   }
 
-  /** Another job holds the key: its answer is the answer to this one. */
+  /** Another job holds the key, so this job ends with that job's answer. */
   private joinHolder(now: number, job: Job, answer: ClaimAnswer): void {
     if (answer.state === ClaimState.UNSPECIFIED) {
       this.completion.refuse(now, job, noQuorum)
@@ -167,9 +168,9 @@
   }
 
   private endWithStoredAnswer(now: number, job: Job, bytes: Uint8Array): void {
-    const kept = decodeAnswer(bytes)
-    if (kept === undefined) this.completion.fail(now, job, outcomeUnknown)
-    else this.completion.endWith(now, job, kept)
+    const stored = decodeAnswer(bytes)
+    if (stored === undefined) this.completion.fail(now, job, outcomeUnknown)
+    else this.completion.endWith(now, job, stored)
   }
 
   private joinLocal(now: number, job: Job, holderId: string, sequence: number): void {
@@ -182,9 +183,9 @@
       this.completion.dissolve(job)
       return
     }
-    const kept = answers.get(now, holderId)?.answer ?? this.abandonedAnswer(holderId, job.caller)
-    if (kept === undefined) this.completion.fail(now, job, outcomeUnknown)
-    else this.completion.endWith(now, job, kept)
+    const stored = answers.get(now, holderId)?.answer ?? this.abandonedAnswer(holderId, job.caller)
+    if (stored === undefined) this.completion.fail(now, job, outcomeUnknown)
+    else this.completion.endWith(now, job, stored)
   }
 
   private joinRemote(now: number, job: Job, holderId: string, target: string): void {
@@ -196,8 +197,8 @@
       this.completion.dissolve(job)
       return
     }
-    const end = (at: number, answer: JobAnswer | undefined): void => {
-      // The job may have reached its deadline meanwhile.
+    const finish = (at: number, answer: JobAnswer | undefined): void => {
+      // The job may have ended in the meantime, for example at its deadline.
       if (jobs.get(sequence) !== job) return
       if (answer === undefined) this.completion.fail(at, job, outcomeUnknown)
       else this.completion.endWith(at, job, answer)
@@ -210,19 +211,19 @@
       }),
       expiresAt: job.deadlineAt,
       resendMs: timing.forwardTimeoutMs,
-      onAnswer: end,
+      onAnswer: finish,
       onLost: (at) => {
-        end(at, undefined)
+        finish(at, undefined)
       },
     })
   }
 
-  private onJobEnded(now: number, job: Job, answer: JobAnswer, before: JobPhase): void {
-    if (before === JobPhase.Claiming) this.rememberAbandoned(job, answer)
+  private onJobEnded(now: number, job: Job, answer: JobAnswer, phaseBefore: JobPhase): void {
+    if (phaseBefore === JobPhase.Claiming) this.rememberAbandoned(job, answer)
     if (!job.claimed) return
-    // A job that truly did not run gives its key back, so that a resend may run.
-    const isUnused = answer.outcome === Outcome.NOT_RUN
-    const bytes = isUnused ? EMPTY_ANSWER : toBinary(JobAnswerSchema, answer)
+    // A job that did not run releases its key, so that a resend can run.
+    const didNotRun = answer.outcome === Outcome.NOT_RUN
+    const bytes = didNotRun ? EMPTY_ANSWER : toBinary(JobAnswerSchema, answer)
     this.endClaim(now, job.id, job.caller, job.spec.submissionKey, bytes)
   }
 
@@ -236,8 +237,8 @@
   }
 
   /**
-   * Gives the key of an abandoned job back where its claim was or may still be committed. The
-   * release also stands in the log against a claim that is committed after it.
+   * Releases the key of an abandoned job if its claim was committed or may still be. A release that
+   * precedes the claim in the log also keeps that claim from taking effect.
    */
   private resolveAbandoned(
     now: number,
--- a/packages/coordinator/src/lib/keys/KeyBook.ts
+++ b/packages/coordinator/src/lib/keys/KeyBook.ts
@@ -1,20 +1,23 @@
 import type { Waiter } from '../jobs/Waiter'
 import { isSameWaiter } from '../jobs/Waiter'
 
-/** What this coordinator knows of one caller's key. @internal */
+/** State of one caller's submission key at this coordinator. @internal */
 export interface KeyEntry {
   readonly jobId: string
   readonly sequence: number
   readonly contentHash: string
   /** False once the job has ended. */
   isRunning: boolean
-  /** Whether any resend gets the answer; else only those that were answered before. */
+  /**
+   * Whether every resend gets the answer. Otherwise only a resend of a request in `repliedTo`
+   * gets it.
+   */
   answersAnyResend: boolean
-  /** Those that got the answer: one that asks again lost it on its way. */
-  answeredWaiters: readonly Waiter[]
+  /** The requests that were answered. If one of them is resent, its answer was lost in transit. */
+  repliedTo: readonly Waiter[]
 }
 
-/** The keys of jobs that run here, or ended here and have a kept answer. @internal */
+/** Submission keys of jobs that run here, or that ended here and whose answer is kept. @internal */
 export class KeyBook {
   private readonly entries = new Map<string, KeyEntry>()
 
@@ -30,18 +33,18 @@
     this.entries.set(keyId, entry)
   }
 
-  /** Forgets a key, unless a later job uses it now. */
+  /** Removes a key, unless a later job uses it now. */
   forget(keyId: string, jobId: string): void {
     if (this.entries.get(keyId)?.jobId === jobId) this.entries.delete(keyId)
   }
 }
 
-/** Names a caller's key without two pairs ever having one name. @internal */
+/** Formats an id that is unique for each pair of caller and submission key. @internal */
 export function formatKeyId(caller: string, submissionKey: string): string {
   return JSON.stringify([caller, submissionKey])
 }
 
-/** Whether a resend gets the answer that an ended entry stands for. @internal */
+/** Whether a resent request gets the kept answer of an ended job. @internal */
 export function mayReuseAnswer(entry: KeyEntry, waiter: Waiter): boolean {
-  return entry.answersAnyResend || entry.answeredWaiters.some((other) => isSameWaiter(other, waiter))
+  return entry.answersAnyResend || entry.repliedTo.some((other) => isSameWaiter(other, waiter))
 }
--- a/packages/coordinator/src/lib/keys/KeyedJobHandler.test.ts
+++ b/packages/coordinator/src/lib/keys/KeyedJobHandler.test.ts
@@ -29,7 +29,7 @@
   return fixture
 }
 
-/** Draining instances are no candidates, so this one never picks itself. */
+/** This instance is starting and thus no candidate, so it forwards every job it can. */
 function withOthers(...others: readonly MemberInit[]): CoordinatorFixture {
   const fixture = new CoordinatorFixture()
   fixture.members({ instance: SELF, state: InstanceState.STARTING, slots: 0 }, ...others)
@@ -54,7 +54,7 @@
 }
 
 describe('a resend of a keyed idempotent job', () => {
-  it('joins the running job, and both get its answer', () => {
+  it('joins the running job, and both requests get its answer', () => {
     const fixture = alone()
     const requests = [fixture.submit(keyed()), fixture.submit(keyed({ deadlineInMs: 5000 }))]
     assert.equal(fixture.placed.length, 1)
@@ -73,7 +73,7 @@
     assert.equal(fixture.placed.length, 1)
   })
 
-  it('runs anew after a failure, so that the caller can mend it', () => {
+  it('runs the job again after a failure, so that the caller can recover', () => {
     const fixture = alone()
     fixture.submit(keyed())
     fixture.report(SELF, fixture.jobId, failed(0))
@@ -83,7 +83,7 @@
     assert.equal(fixture.reply(second)?.state, JobState.SUCCEEDED)
   })
 
-  it('goes on when the first caller is gone', () => {
+  it('joins the job that continues after the first caller has disconnected', () => {
     const fixture = alone()
     fixture.callerGone(fixture.submit(keyed()))
     assert.equal(fixture.machine.jobsInFlight, 1)
@@ -93,7 +93,7 @@
     assert.equal(fixture.placed.length, 1)
   })
 
-  it('is another job for another caller or key', () => {
+  it('counts as a separate job if the caller or the key differs', () => {
     const fixture = alone()
     fixture.submit(keyed())
     fixture.submit(keyed({ caller: 'other' }))
@@ -103,7 +103,7 @@
 
   const changes: readonly SpecInit[] = [{ payload: '{"n":2}' }, { tasks: 2 }, { idempotent: false }]
   for (const change of changes) {
-    it(`is refused when it has other content: ${JSON.stringify(change)}`, () => {
+    it(`is refused if its content differs: ${JSON.stringify(change)}`, () => {
       const fixture = alone()
       fixture.submit(keyed())
       const answer = fixture.reply(fixture.submit(keyed(change)))
@@ -116,7 +116,7 @@
 })
 
 describe('the coordinator of a keyed idempotent job', () => {
-  it('is the same one whichever instance is asked', () => {
+  it('is the same one whichever instance gets the job', () => {
     const everybody = ['a1', 'a2', 'b1', 'b2', 'c1']
     for (let key = 0; key < 20; key++) {
       const targets = everybody.map((instance) => {
@@ -129,7 +129,7 @@
     }
   })
 
-  it('answers, and the answer comes back whole', () => {
+  it('answers, and its complete answer is returned to the caller', () => {
     const fixture = withOthers({ instance: 'a2' })
     const request = fixture.submit(keyed({ deadlineInMs: 4000 }))
     const [sent] = fixture.sent('forwardJob')
@@ -140,7 +140,7 @@
     assert.deepEqual(fixture.reply(request)?.outputs, ['1'])
   })
 
-  it('gets the job again when no word comes, with the time left', () => {
+  it('gets the job again with the remaining time if it does not reply', () => {
     const fixture = withOthers({ instance: 'a2' })
     fixture.submit(keyed())
     fixture.advance(2020)
@@ -150,7 +150,7 @@
     assert.ok((sent[1]?.value.job?.deadlineInMs ?? 0) < 8001)
   })
 
-  it('is another one when the first drains and truly did not run the job', () => {
+  it('is another one if the first is draining and refused the job as not run', () => {
     const fixture = withOthers({ instance: 'a2' }, { instance: 'a3' })
     const request = fixture.submit(keyed())
     const first = fixture.sent('forwardJob')[0]?.to
@@ -164,7 +164,7 @@
     assert.equal(fixture.reply(request)?.state, JobState.SUCCEEDED)
   })
 
-  it('is lost with its answer: the outcome is unknown', () => {
+  it('leaves the outcome unknown if it restarts before it answers', () => {
     const fixture = withOthers({ instance: 'a2' })
     const request = fixture.submit(keyed())
     fixture.members({ instance: SELF, slots: 0 }, { instance: 'a2', boot: 2 })
@@ -173,7 +173,7 @@
     assert.equal(answer.outcome, Outcome.UNKNOWN)
   })
 
-  it('is given up when it is silent for longer than a lease', () => {
+  it('counts as lost after it has been silent for longer than a lease', () => {
     const fixture = withOthers({ instance: 'a2' })
     const request = fixture.submit(keyed())
     fixture.members({ instance: SELF, slots: 0 }, { instance: 'a2', alive: false })
@@ -183,7 +183,7 @@
     assert.equal(fixture.reply(request)?.reason, Reason.COORDINATOR_LOST)
   })
 
-  it('has until the deadline', () => {
+  it('has until the deadline to answer', () => {
     const fixture = withOthers({ instance: 'a2' })
     const request = fixture.submit(keyed({ deadlineInMs: 500 }))
     fixture.advance(600)
@@ -205,7 +205,7 @@
     assert.equal(fixture.placed.length, 2)
   })
 
-  it('finishes what it runs while it drains, and lets a resend join', () => {
+  it('finishes its running jobs while it drains, and lets resends join them', () => {
     const fixture = alone()
     fixture.submit(keyed())
     fixture.step({ kind: CoordinatorEventKind.Drain })
--- a/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
+++ b/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
@@ -16,7 +16,10 @@
 import type { KeyEntry } from './KeyBook'
 import { formatKeyId, mayReuseAnswer } from './KeyBook'
 
-/** The coordinator of a forwarded job answers at the deadline itself; this is for the way back. */
+/**
+ * Time allowed after the deadline for the reply to arrive, since the coordinator of a forwarded job
+ * itself answers at the deadline.
+ */
 const FORWARD_REPLY_MARGIN_MS = 50
 
 const keyReused = problem(
@@ -32,7 +35,12 @@
   'The deadline passed before the coordinator of the job answered.',
 )
 
-/** Takes jobs with a submission key: a resend joins the first one or gets its answer. @internal */
+/**
+ * Handles jobs with a submission key. A resend joins the job that is running under the key, or gets
+ * that job's answer.
+ *
+ * @internal
+ */
 export class KeyedJobHandler {
   constructor(
     private readonly context: CoordinatorContext,
@@ -45,12 +53,12 @@
     const { spec } = request
     const hash = contentHash(spec)
     const entry = this.context.keys.get(formatKeyId(spec.caller, spec.submissionKey))
-    if (entry !== undefined && this.answerFromEntry(now, request, entry, hash)) return
-    if (spec.idempotent && !this.jobIntake.draining && this.forwardToPickedCoordinator(now, request, [])) return
+    if (entry !== undefined && this.tryAnswer(now, request, entry, hash)) return
+    if (spec.idempotent && !this.jobIntake.draining && this.tryForward(now, request, [])) return
     this.admitLocally(now, request, hash)
   }
 
-  /** Takes the job on here. */
+  /** Makes this instance the coordinator of the job. */
   private admitLocally(now: number, request: SubmitRequest, hash: string): void {
     const { spec } = request
     const job = this.jobIntake.admit(now, request, hash)
@@ -61,14 +69,14 @@
       contentHash: hash,
       isRunning: true,
       answersAnyResend: false,
-      answeredWaiters: [],
+      repliedTo: [],
     })
     if (spec.idempotent) this.jobIntake.start(now, job)
     else this.claims.requestClaim(now, job)
   }
 
-  /** @returns false when the job has to run anew */
-  private answerFromEntry(now: number, request: SubmitRequest, entry: KeyEntry, hash: string): boolean {
+  /** @returns false if the entry gives no answer and the job has to be submitted again */
+  private tryAnswer(now: number, request: SubmitRequest, entry: KeyEntry, hash: string): boolean {
     const { answers, jobs, replies } = this.context
     if (!entry.isRunning && !mayReuseAnswer(entry, request.waiter)) return false
     const job = jobs.get(entry.sequence)
@@ -87,21 +95,23 @@
   private join(job: Job, { waiter }: SubmitRequest): void {
     const { replies, policies } = this.context
     replies.attach(job, waiter)
-    // While the claim is not answered it is not known under which id the job is found.
+    // Until the claim is answered, it is not known which job id to return: another job may hold the
+    // key.
     if (job.phase === JobPhase.Claiming) return
     replies.answerAsync(job, runningAnswer(job, policies))
   }
 
   /**
-   * Sends an idempotent job on to the coordinator that rendezvous hashing picks for its key, so
-   * that a resend through any instance finds the first one.
+   * Forwards an idempotent job to the coordinator that rendezvous hashing picks for its key, so
+   * that a resend through any instance reaches the same coordinator.
    *
-   * @returns false when the job belongs here
+   * @returns false if this instance is to coordinate the job
    */
-  private forwardToPickedCoordinator(now: number, request: SubmitRequest, excluded: readonly string[]): boolean {
+  private tryForward(now: number, request: SubmitRequest, excluded: readonly string[]): boolean {
     const { spec, waiter, isForwarded } = request
     const { members, options, replies } = this.context
-    // A job is sent on once: two instances that disagree would send it back and forth.
+    // A job is forwarded only once. Otherwise two instances with different views of the members
+    // could forward it back and forth.
     if (isForwarded) return false
     const candidates = members.serving.filter((name) => !excluded.includes(name))
     const target = pickOwner(formatKeyId(spec.caller, spec.submissionKey), candidates)
@@ -111,9 +121,9 @@
       spec.traceparent,
       `${options.instance}/${options.boot}/${now}/${waiter.requestId}`,
     )
-    const giveUp = (at: number, why: JobProblem): void => {
-      this.recordForwardSpan(now, at, spec, traceparent, target, false)
-      replies.give(waiter, unknownAnswer('', why, this.context.policies))
+    const failForward = (at: number, cause: JobProblem): void => {
+      this.recordSpan(now, at, spec, traceparent, target, false)
+      replies.give(waiter, unknownAnswer('', cause, this.context.policies))
     }
     const forwardId = this.forwarding.ask(now, {
       target,
@@ -126,28 +136,34 @@
       resendMs: this.context.timing.forwardTimeoutMs,
       onAnswer: (at, answer) => {
         if (answer === undefined) {
-          giveUp(at, targetGone)
+          failForward(at, targetGone)
           return
         }
         if (isDrainingRefusal(answer)) {
-          const rest = { ...request, spec: withRemainingTime(spec, deadlineAt - at, spec.traceparent) }
-          this.forwardToNextCoordinator(at, rest, [...excluded, target])
+          const remaining = {
+            ...request,
+            spec: withRemainingTime(spec, deadlineAt - at, spec.traceparent),
+          }
+          this.forwardToNext(at, remaining, [...excluded, target])
           return
         }
-        this.recordForwardSpan(now, at, spec, traceparent, target, answer.state === JobState.SUCCEEDED)
+        this.recordSpan(now, at, spec, traceparent, target, answer.state === JobState.SUCCEEDED)
         replies.give(waiter, answer)
       },
       onLost: (at, loss) => {
-        giveUp(at, loss === ForwardLoss.TargetGone ? targetGone : timedOut)
+        failForward(at, loss === ForwardLoss.TargetGone ? targetGone : timedOut)
       },
     })
     replies.attachForward(waiter, forwardId)
     return true
   }
 
-  /** The chosen coordinator drains and said truthfully that it did not run the job. */
-  private forwardToNextCoordinator(now: number, request: SubmitRequest, excluded: readonly string[]): void {
-    if (this.forwardToPickedCoordinator(now, request, excluded)) return
+  /**
+   * Forwards the job to the next coordinator or admits it here, after the picked one refused it
+   * because it is draining. A refusal guarantees that the job did not run there.
+   */
+  private forwardToNext(now: number, request: SubmitRequest, excluded: readonly string[]): void {
+    if (this.tryForward(now, request, excluded)) return
     this.admitLocally(now, request, contentHash(request.spec))
   }
 
@@ -156,7 +172,7 @@
     return Math.min(deadlineAt, now + 2 * this.context.timing.forwardTimeoutMs)
   }
 
-  private recordForwardSpan(
+  private recordSpan(
     startMs: number,
     endMs: number,
     spec: JobSpec,
@@ -164,11 +180,11 @@
     target: string,
     ok: boolean,
   ): void {
-    const own = parseTraceparent(traceparent)
+    const span = parseTraceparent(traceparent)
     this.context.outbox.span({
       name: 'coordinator.forward',
-      traceId: own?.traceId ?? '',
-      spanId: own?.spanId ?? '',
+      traceId: span?.traceId ?? '',
+      spanId: span?.spanId ?? '',
       parentSpanId: parseTraceparent(spec.traceparent)?.spanId ?? '',
       startMs,
       endMs,
@@ -182,10 +198,10 @@
   return answer.outcome === Outcome.NOT_RUN && answer.reason === Reason.DRAINING
 }
 
-function withRemainingTime(spec: JobSpec, leftMs: number, traceparent: string): JobSpec {
+function withRemainingTime(spec: JobSpec, remainingMs: number, traceparent: string): JobSpec {
   const { caller, submissionKey, idempotent, tasks } = spec
-  // 0 would mean "none given".
-  const deadlineInMs = Math.max(1, leftMs)
+  // 0 would mean that no deadline was given.
+  const deadlineInMs = Math.max(1, remainingMs)
   return create(JobSpecSchema, {
     caller,
     submissionKey,
--- a/packages/coordinator/src/lib/keys/contentHash.test.ts
+++ b/packages/coordinator/src/lib/keys/contentHash.test.ts
@@ -21,7 +21,7 @@
   return contentHash(create(JobSpecSchema, { ...base, ...init }))
 }
 
-describe('the hash of what a job asks for', () => {
+describe('the content hash of a job', () => {
   const same: readonly Init[] = [
     { deadlineInMs: 5 },
     { traceparent: '00-1' },
@@ -43,7 +43,7 @@
     { tasks: [...(base.tasks ?? []), ...(base.tasks ?? [])] },
   ]
   for (const init of others) {
-    it(`is another one with ${JSON.stringify(init)}`, () => {
+    it(`differs with ${JSON.stringify(init)}`, () => {
       assert.notEqual(hashOf(init), hashOf({}))
     })
   }
--- a/packages/coordinator/src/lib/keys/contentHash.ts
+++ b/packages/coordinator/src/lib/keys/contentHash.ts
@@ -2,11 +2,12 @@
 import type { JobSpec, TaskSpec } from '@cherryhitch/protocol'
 
 /**
- * SHA-256 over what a job asks for, hexadecimal. Two submissions with one key are the same only
- * when it is equal.
+ * Returns the SHA-256 hash of a job's content, in hexadecimal. Two submissions with the same key
+ * count as the same job only if their hashes are equal.
  *
- * Each field is written with its length, so that no two jobs have the same text. The deadline,
- * the trace and declared run times are left out: a resend may state them anew.
+ * Each field is prefixed with its length, so that different jobs never yield the same input. The
+ * deadline, the trace context and declared run times are not included, because a resend may have
+ * other values for them.
  *
  * @internal
  */
@@ -19,7 +20,7 @@
 }
 
 function encodeTask({ service, payload, resources }: TaskSpec): string {
-  const needs = [resources?.cores, resources?.memoryMb, resources?.accelerators]
-  const fields = [service, payload, ...needs.map((need) => String(need ?? 0))]
+  const amounts = [resources?.cores, resources?.memoryMb, resources?.accelerators]
+  const fields = [service, payload, ...amounts.map((amount) => String(amount ?? 0))]
   return fields.map((field) => `/${field.length}:${field}`).join('')
 }
--- a/packages/coordinator/src/lib/members/MemberChange.ts
+++ b/packages/coordinator/src/lib/members/MemberChange.ts
@@ -1,10 +1,10 @@
-/** What happened to an instance between two views of the members. @internal */
+/** How an instance changed between two views of the members. @internal */
 export enum MemberChangeKind {
-  /** It was silent for too long, or is not in the view any more. */
+  /** The instance was silent for too long, or is no longer in the view. */
   Lost = 'lost',
-  /** It is heard again, in the same boot. */
+  /** The instance is heard of again, in the same boot. */
   Back = 'back',
-  /** Another boot of it is heard: the earlier one is gone for good. */
+  /** Another boot of the instance is heard of, so the earlier one has ended for good. */
   Restarted = 'restarted',
 }
 
@@ -12,7 +12,7 @@
 export interface MemberChange {
   readonly kind: MemberChangeKind
   readonly instance: string
-  /** The boot that was lost, came back, or was replaced. */
+  /** The boot that was lost, recovered or replaced. */
   readonly boot: number
   /** When that boot was last heard of. */
   readonly heardAt: number
--- a/packages/coordinator/src/lib/members/MemberTable.ts
+++ b/packages/coordinator/src/lib/members/MemberTable.ts
@@ -5,12 +5,12 @@
 import { MemberChangeKind } from './MemberChange'
 import { UnreportedTasks } from './UnreportedTasks'
 
-/** An offer that is kept up to date in place, so that placing a job builds no list. */
+/** An offer that is updated in place, so that placing a job does not allocate a new list. */
 interface MutableOffer extends OwnerOffer {
   unreported: number
 }
 
-/** What this coordinator knows of the instances. @internal */
+/** The coordinator's view of the instances, and the offers of those that own tasks. @internal */
 export class MemberTable {
   private byName = new Map<string, InstanceView>()
   private offerList: readonly OwnerOffer[] = []
@@ -24,12 +24,12 @@
     private readonly silenceLimitMs: number,
   ) {}
 
-  /** Live instances that admit jobs now. */
+  /** Live instances that currently admit jobs. */
   get serving(): readonly string[] {
     return this.servingNames
   }
 
-  /** Offers of live owners; see `update`. */
+  /** Offers of live owners, as selected by `update`. */
   get offers(): readonly OwnerOffer[] {
     return this.offerList
   }
@@ -47,27 +47,29 @@
     return instance === this.self || (this.byName.get(instance)?.alive ?? false)
   }
 
-  /** Whether an instance lives in the very boot. */
+  /** Whether an instance is alive and still in the given boot. */
   isPresent(instance: string, boot: number): boolean {
     return this.isAlive(instance) && this.bootOf(instance) === boot
   }
 
-  /** When an instance was last heard of; long ago when it is not known. */
+  /** When an instance was last heard of; negative infinity if it is unknown. */
   heardAt(instance: string): number {
     return this.byName.get(instance)?.heardAt ?? -Infinity
   }
 
-  /** Other live instances of the zone of an instance. */
+  /** The other live instances in the availability zone of an instance. */
   zoneMates(instance: string): readonly string[] {
     const zone = this.byName.get(instance)?.zone
-    const mates = [...this.byName.values()].filter((member) => member.zone === zone && member.alive)
-    return mates.map((member) => member.instance).filter((name) => name !== instance)
+    const peers = [...this.byName.values()].filter((member) => member.zone === zone && member.alive)
+    return peers.map((member) => member.instance).filter((name) => name !== instance)
   }
 
   /**
-   * Takes a new view in. An owner that was silent for a while is left out of the offers where
-   * another one offers the same service. Silence is measured at the time of the view, because
-   * views come only when something changed.
+   * Applies a new view of the members. Offers of an owner that has been silent for longer than the
+   * limit are left out if another owner offers the same service. Silence is measured at the time of
+   * the view, because views are sent only when something has changed.
+   *
+   * @returns instances that were lost, recovered or restarted since the previous view
    */
   update(now: number, members: readonly InstanceView[]): readonly MemberChange[] {
     const previous = this.byName
@@ -131,7 +133,7 @@
 
   private buildOffers(member: InstanceView, before: InstanceView | undefined): MutableOffer[] {
     const isNew = before?.services !== member.services
-    // What was on its way when the summary was made may be missing in it.
+    // Tasks that were in transit when the summary was made may not be included in it.
     const cutoff = member.heardAt - member.roundTripMs
     return member.services.map((summary) => {
       const key = offerKey(member.instance, summary.service)
@@ -171,8 +173,8 @@
   fresh: readonly MutableOffer[],
 ): readonly MutableOffer[] {
   if (silent.length === 0) return fresh
-  const covered = new Set(fresh.map((offer) => offer.service))
-  return [...fresh, ...silent.filter((offer) => !covered.has(offer.service))]
+  const servedServices = new Set(fresh.map((offer) => offer.service))
+  return [...fresh, ...silent.filter((offer) => !servedServices.has(offer.service))]
 }
 
 function isServing(member: InstanceView): boolean {
--- a/packages/coordinator/src/lib/members/UnreportedTasks.test.ts
+++ b/packages/coordinator/src/lib/members/UnreportedTasks.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test'
 import { UnreportedTasks } from './UnreportedTasks'
 
-describe('tasks that an owner has not reported yet', () => {
-  it('are forgotten with the first summary that can hold them', () => {
+describe('tasks that no summary of the owner includes yet', () => {
+  it('are discarded with the first summary that can include them', () => {
     const tasks = new UnreportedTasks()
     tasks.add(100, 3)
     tasks.add(110, 2)
@@ -13,7 +13,7 @@
     assert.equal(tasks.count, 0)
   })
 
-  it('are taken back when they end before any summary', () => {
+  it('are removed if they end before any summary', () => {
     const tasks = new UnreportedTasks()
     tasks.add(100, 1)
     tasks.add(110, 1)
@@ -22,7 +22,7 @@
     assert.equal(tasks.count, 0)
   })
 
-  it('are not taken back twice: neither after a summary, nor beyond their number', () => {
+  it('are not removed twice: neither after a summary nor more often than they were added', () => {
     const tasks = new UnreportedTasks()
     tasks.add(100, 1)
     tasks.add(120, 2)
--- a/packages/coordinator/src/lib/members/UnreportedTasks.ts
+++ b/packages/coordinator/src/lib/members/UnreportedTasks.ts
@@ -1,4 +1,4 @@
-/** Placements closer together than this are counted as one. */
+/** Placements that follow within this time of an entry's first one are merged into the entry. */
 const MERGE_MS = 4
 
 interface Entry {
@@ -7,7 +7,8 @@
 }
 
 /**
- * Counts the tasks placed with one owner for one service that its last summary can't hold yet.
+ * Counts the tasks placed with one owner for one service that are too recent to be included in the
+ * owner's last summary.
  *
  * @internal
  */
@@ -23,12 +24,13 @@
     else this.entries.push({ at: now, count: tasks })
   }
 
-  /** A task placed at `placedAt` ended: the next summary will not hold it. */
+  /** Removes one task placed at `placedAt`. It has ended, so the next summary won't include it. */
   removeOne(placedAt: number): void {
     for (let i = this.entries.length - 1; i >= 0; i--) {
       const entry = this.entries[i]
       if (entry === undefined || entry.at > placedAt) continue
-      // An entry may have been included in a summary and dropped; an older one stands for others.
+      // The task's own entry may have been discarded because a summary includes it. An older entry
+      // counts other tasks and must not be reduced.
       if (placedAt - entry.at >= MERGE_MS || entry.count === 0) return
       entry.count--
       this.count--
@@ -36,7 +38,7 @@
     }
   }
 
-  /** A summary came that holds what was placed before `cutoff`. */
+  /** Discards the tasks placed before `cutoff`, which a new summary includes. */
   discardBefore(cutoff: number): void {
     const kept = this.entries.findIndex((entry) => entry.at >= cutoff)
     const dropped = kept < 0 ? this.entries.splice(0) : this.entries.splice(0, kept)
--- a/packages/coordinator/src/lib/startCoordinator.test.ts
+++ b/packages/coordinator/src/lib/startCoordinator.test.ts
@@ -43,7 +43,7 @@
   return Effect.runPromise(Effect.scoped(program))
 }
 
-/** Waits until something holds, for a second at most. */
+/** Waits until the condition holds, for at most one second. */
 const until = (holds: () => boolean): Effect.Effect<void> =>
   Effect.gen(function* () {
     for (let i = 0; i < 200 && !holds(); i++) yield* Effect.sleep(5)
@@ -72,7 +72,7 @@
       }),
     ))
 
-  it('drops the job of a caller that is interrupted', () =>
+  it('cancels the job if its caller is interrupted', () =>
     withCoordinator(({ part, sent }) =>
       Effect.gen(function* () {
         const fiber = yield* Effect.forkChild(part.submit(makeSpec(), false))
@@ -84,7 +84,7 @@
       }),
     ))
 
-  it('answers questions, and drains', () =>
+  it('answers queries, and drains', () =>
     withCoordinator(({ part, drained }) =>
       Effect.gen(function* () {
         const { jobId } = yield* part.submit(makeSpec(), true)
--- a/packages/coordinator/src/lib/startCoordinator.ts
+++ b/packages/coordinator/src/lib/startCoordinator.ts
@@ -13,26 +13,26 @@
 import { CoordinatorMachine } from './CoordinatorMachine'
 import type { CoordinatorOptions } from './CoordinatorOptions'
 
-/** Steady pace of a coordinator's timers: small beside a task of 50 ms. */
+/** Interval at which timers are checked. Short compared with a task of 50 ms. */
 const TICK_MS = 20
 
 /** @public */
 export interface StartCoordinatorOptions extends CoordinatorOptions {
-  /** Sends to an instance; to the own one it delivers locally. */
+  /** Sends a message to an instance. Messages to this instance are delivered locally. */
   readonly send: (to: string, envelope: Envelope) => void
-  /** Claims a key; the host answers with a ClaimAnswered event. */
+  /** Claims a submission key; the host answers with a ClaimAnswered event. */
   readonly claim: (claim: KeyClaim) => void
   readonly endClaim: (end: ClaimEnd) => void
   readonly onSpan: (span: SpanRecord) => void
-  /** No job is in flight any more; called once, after Drain. */
+  /** Called once, when a coordinator that was told to drain has nothing left to do. */
   readonly onDrained: () => void
   readonly log: (line: string) => void
-  /** Called when the coordinator stopped because of a fault in the program; it answers no more. */
+  /** Called when an unexpected exception has stopped the coordinator. It handles no more events. */
   readonly onDefect?: (defect: unknown) => void
   readonly clock?: Clock
 }
 
-/** A caller's question about a job. @public */
+/** A caller's query about a job. @public */
 export interface JobQuestion {
   readonly jobId: string
   readonly caller: string
@@ -42,21 +42,21 @@
 
 /** A running coordinator. @public */
 export interface CoordinatorPart {
-  /** Interrupting it tells the coordinator that the caller is gone. */
+  /** Interrupting the effect tells the coordinator that the caller has disconnected. */
   readonly submit: (job: JobSpec, respondAsync: boolean) => Effect.Effect<JobAnswer>
-  /** Undefined: no such job is known, or it is another caller's. */
+  /** Undefined if the job is unknown or belongs to another caller. */
   readonly query: (question: JobQuestion) => Effect.Effect<JobAnswer | undefined>
   readonly tell: (event: CoordinatorEvent) => void
   readonly jobs: () => readonly JobAnswer[]
   readonly counters: () => Readonly<CoordinatorCounters>
   readonly jobsInFlight: () => number
-  /** Events that wait in the mailbox. */
+  /** Number of events waiting in the mailbox. */
   readonly backlog: () => number
 }
 
 type Resume = (answer: JobAnswer | undefined) => void
 
-/** The requests of connected callers that wait for their Reply. */
+/** Requests of connected callers that have not been answered yet. */
 class PendingRequests {
   private readonly resumes = new Map<string, Resume>()
   private lastRequest = 0
@@ -100,7 +100,7 @@
       options.onSpan(action.span)
       return
     case CoordinatorActionKind.Drained:
-      options.log('drained, no job is in flight')
+      options.log('drained: no jobs in flight')
       options.onDrained()
       return
     default:
@@ -131,7 +131,7 @@
         options.onDefect?.(defect)
       },
     })
-    const ask = (makeEvent: (requestId: string) => CoordinatorEvent) =>
+    const request = (makeEvent: (requestId: string) => CoordinatorEvent) =>
       Effect.callback<JobAnswer | undefined>((resume) => {
         const requestId = requests.open((answer) => {
           resume(Effect.succeed(answer))
@@ -145,11 +145,16 @@
     return {
       submit: (job, respondAsync) =>
         Effect.map(
-          ask((requestId) => ({ kind: CoordinatorEventKind.Submit, requestId, job, respondAsync })),
+          request((requestId) => ({
+            kind: CoordinatorEventKind.Submit,
+            requestId,
+            job,
+            respondAsync,
+          })),
           requireAnswer,
         ),
       query: (question) =>
-        ask((requestId) => ({ kind: CoordinatorEventKind.Query, requestId, ...question })),
+        request((requestId) => ({ kind: CoordinatorEventKind.Query, requestId, ...question })),
       tell: part.tell,
       jobs: () => machine.jobs(),
       counters: () => machine.counters,
@@ -159,8 +164,9 @@
   })
 }
 
-/** Only a question about an unknown job is answered with nothing. */
+/** A submitted job always gets an answer; only a query about an unknown job gets none. */
 function requireAnswer(answer: JobAnswer | undefined): JobAnswer {
-  if (answer === undefined) throw new Error('a submitted job was answered with nothing')
+  if (answer === undefined)
+    throw new Error('coordinator replied to a submitted job without an answer')
   return answer
 }
--- a/packages/coordinator/src/lib/timers/DueItem.ts
+++ b/packages/coordinator/src/lib/timers/DueItem.ts
@@ -1,4 +1,4 @@
-/** What a timer of the coordinator is for. @internal */
+/** Kinds of timers of a coordinator. @internal */
 export enum DueKind {
   Deadline = 'deadline',
   AskAfterLate = 'ask_after_late',
@@ -7,7 +7,12 @@
   ForwardLate = 'forward_late',
 }
 
-/** Timers name their subject by number, so that an ended job's memory is not held by them. @internal */
+/**
+ * A timer of a coordinator. It refers to its job by sequence number, so that it doesn't keep the
+ * job in memory after the job has ended.
+ *
+ * @internal
+ */
 export type DueItem =
   | { readonly kind: DueKind.Deadline; readonly sequence: number }
   | { readonly kind: DueKind.AskAfterLate; readonly sequence: number }
@@ -15,9 +20,9 @@
       readonly kind: DueKind.Retry
       readonly sequence: number
       readonly indexes: readonly number[]
-      /** Until then it waits for an owner when there is none. */
+      /** Until this time, the tasks wait for an owner if there is none. */
       readonly giveUpAt: number
     }
-  /** The leases of a lost owner's boot have run out. */
+  /** The leases granted by a lost owner's boot have expired. */
   | { readonly kind: DueKind.OwnerGone; readonly owner: string; readonly boot: number }
   | { readonly kind: DueKind.ForwardLate; readonly forwardId: string }
--- a/packages/coordinator/src/lib/timers/TimerWheel.test.ts
+++ b/packages/coordinator/src/lib/timers/TimerWheel.test.ts
@@ -4,7 +4,7 @@
 import { TimerWheel } from './TimerWheel'
 
 describe('timers', () => {
-  it('go off in time and once, in whatever order they are set', () => {
+  it('fire in time and exactly once, in whatever order they are scheduled', () => {
     const times = fc.array(fc.integer({ min: 1000, max: 3000 }), { maxLength: 40 })
     const steps = fc.array(fc.integer({ min: 0, max: 400 }), { minLength: 1, maxLength: 20 })
     fc.assert(
@@ -19,7 +19,7 @@
           if (at !== undefined) wheel.schedule(at, at)
           now += move
           const due = wheel.takeDue(now)
-          for (const each of due) assert.ok(each <= now, `${each} went off at ${now}`)
+          for (const each of due) assert.ok(each <= now, `${each} fired at ${now}`)
           taken.push(...due)
         }
         const set = [...first, ...later.slice(rest.length)]
@@ -30,7 +30,7 @@
     )
   })
 
-  it('go off although a later one was set before', () => {
+  it('fire even if a later one was scheduled first', () => {
     const wheel = new TimerWheel<string>()
     wheel.schedule(9000, 'late')
     wheel.schedule(100, 'early')
--- a/packages/coordinator/src/lib/timers/TimerWheel.ts
+++ b/packages/coordinator/src/lib/timers/TimerWheel.ts
@@ -1,22 +1,22 @@
-/** Width of a bucket: a timer goes off up to this late, which is small beside a 50 ms task. */
+/** Width of a bucket. Timers fire up to this much late; short compared with a task of 50 ms. */
 const BUCKET_MS = 8
 
 /**
- * Timers in buckets of time: setting one costs the same however many there are.
+ * Timers grouped in buckets of equal width, so that scheduling one takes constant time.
  *
- * There is no way to cancel one; whoever takes a due item checks whether it still matters.
+ * Timers can't be cancelled. The code that handles a due item checks whether it still applies.
  *
  * @internal
  */
 export class TimerWheel<T> {
   private readonly buckets = new Map<number, T[]>()
-  /** First bucket that was not taken yet; what is set for an earlier one goes there. */
+  /** First bucket that has not been taken. Timers scheduled for an earlier one are put here. */
   private openBucket = -Infinity
-  /** No bucket before this one holds anything. */
+  /** All buckets before this one are empty. */
   private earliest = Infinity
   private count = 0
 
-  /** Timers that have not gone off. */
+  /** Number of timers that have not fired. */
   get size(): number {
     return this.count
   }
@@ -30,7 +30,7 @@
     else items.push(item)
   }
 
-  /** Takes out what is due, oldest first. */
+  /** Removes and returns the due items, oldest bucket first. */
   takeDue(now: number): readonly T[] {
     const last = Math.floor(now / BUCKET_MS)
     this.openBucket = Math.max(this.openBucket, last + 1)
