--- a/packages/coordinator/src/lib/CoordinatorMachine.test.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.test.ts
@@ -110,7 +110,7 @@
     assert.equal(fixture.reply('r1')?.reason, Reason.DEADLINE_PASSED)
   })
 
-  it('is cancelled if its caller disconnects and its answer can not be fetched later', () => {
+  it('is cancelled if its caller disconnects and nothing can fetch its answer later', () => {
     const fixture = started(1)
     fixture.callerGone('r1')
     assert.equal(fixture.machine.jobsInFlight, 0)
--- a/packages/coordinator/src/lib/CoordinatorOptions.ts
+++ b/packages/coordinator/src/lib/CoordinatorOptions.ts
@@ -32,7 +32,7 @@
   readonly leaseMs: number
   /** Added to the lease before a lost owner's tasks count as stopped, to allow for clock drift. */
   readonly leaseMarginMs: number
-  /** Offers of an owner that is silent for longer are used only if there are no others. */
+  /** Offers of an owner silent for longer are used only if the service has no others. */
   readonly ownerSilenceLimitMs: number
   /** Time to the deadline of a job that was submitted without one. */
   readonly defaultDeadlineMs: number
--- a/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
+++ b/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
@@ -75,7 +75,7 @@
     else this.claims.requestClaim(now, job)
   }
 
-  /** @returns false if the entry gives no answer and the job has to be submitted again */
+  /** @returns false if the entry can't answer the request, so that the job has to run again */
   private tryAnswer(now: number, request: SubmitRequest, entry: KeyEntry, hash: string): boolean {
     const { answers, jobs, replies } = this.context
     if (!entry.isRunning && !mayReuseAnswer(entry, request.waiter)) return false
@@ -140,11 +140,11 @@
           return
         }
         if (isDrainingRefusal(answer)) {
-          const remaining = {
+          const next = {
             ...request,
             spec: withRemainingTime(spec, deadlineAt - at, spec.traceparent),
           }
-          this.forwardToNext(at, remaining, [...excluded, target])
+          this.forwardToNext(at, next, [...excluded, target])
           return
         }
         this.recordSpan(now, at, spec, traceparent, target, answer.state === JobState.SUCCEEDED)
