--- a/packages/coordinator/src/lib/answers/AnswerBook.ts
+++ b/packages/coordinator/src/lib/answers/AnswerCache.ts
@@ -1,64 +1,64 @@
 import type { JobAnswer } from '@cherryhitch/protocol'
 
-/** Counted for each kept answer beside its outputs. */
-const FIXED_CHARS = 300
+/** Fixed size counted for each answer, in addition to its outputs and its detail text. */
+const ANSWER_OVERHEAD_CHARS = 300
 
 /** @internal */
-export interface KeptAnswer {
+export interface CachedAnswer {
   readonly jobId: string
   readonly caller: string
   readonly answer: JobAnswer
-  /** Entry in the book of keys that goes with this answer; empty when there is none. */
+  /** Id of the submission key entry that refers to this answer; empty for a job without a key. */
   readonly keyId: string
 }
 
 interface Entry {
-  readonly kept: KeptAnswer
+  readonly cached: CachedAnswer
   readonly chars: number
   readonly expiresAt: number
 }
 
 /** @internal */
-export interface AnswerBookOptions {
+export interface AnswerCacheOptions {
   readonly retentionMs: number
   readonly maxAnswers: number
   readonly maxChars: number
-  readonly onDropped: (kept: KeptAnswer) => void
+  readonly onEvicted: (cached: CachedAnswer) => void
 }
 
 /**
- * Answers of ended jobs for later questions, bounded by time, number and size. All are kept for
- * the same time, so the oldest one is always the next to go.
+ * Answers of ended jobs for later queries, bounded by age, number and total size. All have the same
+ * retention period, so entries expire and are evicted in insertion order.
  *
  * @internal
  */
-export class AnswerBook {
+export class AnswerCache {
   private readonly entries = new Map<string, Entry>()
   private chars = 0
 
-  constructor(private readonly options: AnswerBookOptions) {}
+  constructor(private readonly options: AnswerCacheOptions) {}
 
   get size(): number {
     return this.entries.size
   }
 
-  keep(now: number, kept: KeptAnswer): void {
-    const chars = charsOf(kept.answer)
+  add(now: number, cached: CachedAnswer): void {
+    const chars = answerChars(cached.answer)
     const expiresAt = now + this.options.retentionMs
-    this.entries.set(kept.jobId, { kept, chars, expiresAt })
+    this.entries.set(cached.jobId, { cached, chars, expiresAt })
     this.chars += chars
     this.enforceBounds()
   }
 
-  get(now: number, jobId: string): KeptAnswer | undefined {
+  get(now: number, jobId: string): CachedAnswer | undefined {
     const entry = this.entries.get(jobId)
-    return entry === undefined || entry.expiresAt <= now ? undefined : entry.kept
+    return entry === undefined || entry.expiresAt <= now ? undefined : entry.cached
   }
 
   expire(now: number): void {
     for (const entry of this.entries.values()) {
       if (entry.expiresAt > now) return
-      this.drop(entry)
+      this.evict(entry)
     }
   }
 
@@ -66,19 +66,19 @@
     for (const entry of this.entries.values()) {
       const isWithin = this.chars <= this.options.maxChars
       if (isWithin && this.entries.size <= this.options.maxAnswers) return
-      this.drop(entry)
+      this.evict(entry)
     }
   }
 
-  private drop(entry: Entry): void {
-    this.entries.delete(entry.kept.jobId)
+  private evict(entry: Entry): void {
+    this.entries.delete(entry.cached.jobId)
     this.chars -= entry.chars
-    this.options.onDropped(entry.kept)
+    this.options.onEvicted(entry.cached)
   }
 }
 
-function charsOf(answer: JobAnswer): number {
-  let chars = FIXED_CHARS + answer.detail.length
+function answerChars(answer: JobAnswer): number {
+  let chars = ANSWER_OVERHEAD_CHARS + answer.detail.length
   for (const output of answer.outputs) chars += output.length
   return chars
 }
--- a/packages/coordinator/src/lib/keys/ClaimDesk.ts
+++ b/packages/coordinator/src/lib/keys/ClaimDesk.ts
@@ -20,7 +20,7 @@
 import type { JobEnding } from '../jobs/JobEnding'
 
 const QUORUM_RETRY_MS = 1000
-const NOTHING = new Uint8Array(0)
+const EMPTY_ANSWER = new Uint8Array(0)
 
 const noQuorum = problem(
   Reason.NO_QUORUM,
@@ -41,7 +41,7 @@
   'A job with this key may have run at a coordinator that is lost; it is not run again.',
 )
 
-/** What is remembered of a job that was given up before its claim was answered. @internal */
+/** A job that ended before its claim was answered. @internal */
 export interface AbandonedClaim {
   readonly caller: string
   readonly submissionKey: string
@@ -49,8 +49,8 @@
 }
 
 /**
- * Claims the keys of non-idempotent jobs in the quorum. A job is dispatched only after its claim
- * was granted, and only once.
+ * Claims the submission keys of non-idempotent jobs from the voters' quorum. A job is dispatched
+ * only after its claim was granted, and only once.
  *
  * @internal
  */
@@ -59,16 +59,16 @@
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly desk: JobDesk,
-    private readonly ending: JobEnding,
+    private readonly jobIntake: JobDesk,
+    private readonly completion: JobEnding,
     private readonly forwarding: Forwarding,
   ) {
-    ending.listen((now, job, answer, before) => {
-      this.jobEnded(now, job, answer, before)
+    completion.listen((now, job, answer, phaseBefore) => {
+      this.onJobEnded(now, job, answer, phaseBefore)
     })
   }
 
-  start(now: number, job: Job): void {
+  requestClaim(now: number, job: Job): void {
     job.phase = JobPhase.Claiming
     this.context.outbox.claim(
       create(KeyClaimSchema, {
@@ -81,32 +81,32 @@
     )
   }
 
-  /** The answer that an abandoned job got; it truly did not run. */
+  /** The answer to a job that ended before its claim was answered, and so did not run. */
   abandonedAnswer(jobId: string, caller: string): JobAnswer | undefined {
     const claim = this.abandoned.get(jobId)
     return claim?.caller === caller ? claim.answer : undefined
   }
 
-  takeAnswer(
+  handleClaimAnswer(
     now: number,
     jobId: string,
     answer: ClaimAnswer | undefined,
     mayBeClaimed: boolean,
   ): void {
-    const job = this.findClaiming(jobId)
+    const job = this.findClaimingJob(jobId)
     if (job === undefined) {
-      this.settleAbandoned(now, jobId, answer, mayBeClaimed)
+      this.resolveAbandoned(now, jobId, answer, mayBeClaimed)
       return
     }
     if (answer !== undefined) {
-      this.decide(now, job, answer)
+      this.applyVerdict(now, job, answer)
       return
     }
-    this.ending.refuse(now, job, noQuorum)
-    this.settleAbandoned(now, jobId, undefined, mayBeClaimed)
+    this.completion.refuse(now, job, noQuorum)
+    this.resolveAbandoned(now, jobId, undefined, mayBeClaimed)
   }
 
-  private findClaiming(jobId: string): Job | undefined {
+  private findClaimingJob(jobId: string): Job | undefined {
     const id = parseJobId(jobId)
     const { options, jobs } = this.context
     if (id?.coordinator !== options.instance || id.boot !== options.boot) return undefined
@@ -114,62 +114,63 @@
     return job?.phase === JobPhase.Claiming ? job : undefined
   }
 
-  private decide(now: number, job: Job, answer: ClaimAnswer): void {
+  private applyVerdict(now: number, job: Job, answer: ClaimAnswer): void {
     switch (answer.verdict) {
       case ClaimVerdict.GRANTED:
         this.dispatch(now, job)
         return
       case ClaimVerdict.HELD:
-        this.followHolder(now, job, answer)
+        this.joinHolder(now, job, answer)
         return
       case ClaimVerdict.MISMATCH:
-        this.ending.refuse(now, job, keyReused)
+        this.completion.refuse(now, job, keyReused)
         this.abandoned.delete(job.id)
         return
       case ClaimVerdict.FULL:
-        this.ending.refuse(now, job, claimsFull)
+        this.completion.refuse(now, job, claimsFull)
         this.abandoned.delete(job.id)
         return
       case ClaimVerdict.UNSPECIFIED:
       default:
-        // Not understood, so it may be claimed: the release makes the refusal true for good.
-        this.ending.refuse(now, job, noQuorum)
-        this.settleAbandoned(now, job.id, undefined, true)
+        // An unknown verdict may mean that the claim was committed. Releasing the key ensures that
+        // the refused job stays not run.
+        this.completion.refuse(now, job, noQuorum)
+        this.resolveAbandoned(now, job.id, undefined, true)
     }
   }
 
   private dispatch(now: number, job: Job): void {
     job.phase = JobPhase.Running
     job.claimed = true
-    this.desk.start(now, job)
+    this.jobIntake.start(now, job)
   }
 
-  /** Another job holds the key: its answer is the answer to this one. */
-  private followHolder(now: number, job: Job, answer: ClaimAnswer): void {
+  /** Another job holds the key, so this job ends with that job's answer. */
+  private joinHolder(now: number, job: Job, answer: ClaimAnswer): void {
     if (answer.state === ClaimState.UNSPECIFIED) {
-      this.ending.refuse(now, job, noQuorum)
+      this.completion.refuse(now, job, noQuorum)
       this.abandoned.delete(job.id)
       return
     }
     this.context.counters.keyHits++
     job.phase = JobPhase.Joining
     if (answer.state === ClaimState.ENDED) {
-      this.endWithKept(now, job, answer.answer)
+      this.endWithStoredAnswer(now, job, answer.answer)
       return
     }
     const holder = parseJobId(answer.jobId)
     const { options, members } = this.context
     if (holder === undefined || !members.isPresent(holder.coordinator, holder.boot)) {
-      this.ending.fail(now, job, outcomeUnknown)
+      this.completion.fail(now, job, outcomeUnknown)
     } else if (holder.coordinator === options.instance) {
       this.joinLocal(now, job, answer.jobId, holder.sequence)
     } else this.joinRemote(now, job, answer.jobId, holder.coordinator)
   }
 
-  private endWithKept(now: number, job: Job, bytes: Uint8Array): void {
-    const kept = decodeAnswer(bytes)
-    if (kept === undefined) this.ending.fail(now, job, outcomeUnknown)
-    else this.ending.endWith(now, job, kept)
+  private endWithStoredAnswer(now: number, job: Job, bytes: Uint8Array): void {
+    const stored = decodeAnswer(bytes)
+    if (stored === undefined) this.completion.fail(now, job, outcomeUnknown)
+    else this.completion.endWith(now, job, stored)
   }
 
   private joinLocal(now: number, job: Job, holderId: string, sequence: number): void {
@@ -179,12 +180,12 @@
       job.joinedId = holderId
       replies.answerAsync(job, runningAnswer(job, policies))
       replies.move(job, holder)
-      this.ending.dissolve(job)
+      this.completion.dissolve(job)
       return
     }
-    const kept = answers.get(now, holderId)?.answer ?? this.abandonedAnswer(holderId, job.caller)
-    if (kept === undefined) this.ending.fail(now, job, outcomeUnknown)
-    else this.ending.endWith(now, job, kept)
+    const stored = answers.get(now, holderId)?.answer ?? this.abandonedAnswer(holderId, job.caller)
+    if (stored === undefined) this.completion.fail(now, job, outcomeUnknown)
+    else this.completion.endWith(now, job, stored)
   }
 
   private joinRemote(now: number, job: Job, holderId: string, target: string): void {
@@ -193,14 +194,14 @@
     job.joinedId = holderId
     replies.answerAsync(job, runningAnswer(job, policies))
     if (job.waiters.length === 0) {
-      this.ending.dissolve(job)
+      this.completion.dissolve(job)
       return
     }
-    const end = (at: number, answer: JobAnswer | undefined): void => {
-      // The job may have reached its deadline meanwhile.
+    const finish = (at: number, answer: JobAnswer | undefined): void => {
+      // The job may have ended in the meantime, for example at its deadline.
       if (jobs.get(sequence) !== job) return
-      if (answer === undefined) this.ending.fail(at, job, outcomeUnknown)
-      else this.ending.endWith(at, job, answer)
+      if (answer === undefined) this.completion.fail(at, job, outcomeUnknown)
+      else this.completion.endWith(at, job, answer)
     }
     this.forwarding.ask(now, {
       target,
@@ -210,23 +211,23 @@
       }),
       expiresAt: job.deadlineAt,
       resendMs: timing.forwardTimeoutMs,
-      onAnswer: end,
+      onAnswer: finish,
       onLost: (at) => {
-        end(at, undefined)
+        finish(at, undefined)
       },
     })
   }
 
-  private jobEnded(now: number, job: Job, answer: JobAnswer, before: JobPhase): void {
-    if (before === JobPhase.Claiming) this.abandon(job, answer)
+  private onJobEnded(now: number, job: Job, answer: JobAnswer, phaseBefore: JobPhase): void {
+    if (phaseBefore === JobPhase.Claiming) this.rememberAbandoned(job, answer)
     if (!job.claimed) return
-    // A job that truly did not run gives its key back, so that a resend may run.
-    const isUnused = answer.outcome === Outcome.NOT_RUN
-    const bytes = isUnused ? NOTHING : toBinary(JobAnswerSchema, answer)
+    // A job that did not run releases its key, so that a resend can run.
+    const didNotRun = answer.outcome === Outcome.NOT_RUN
+    const bytes = didNotRun ? EMPTY_ANSWER : toBinary(JobAnswerSchema, answer)
     this.endClaim(now, job.id, job.caller, job.spec.submissionKey, bytes)
   }
 
-  private abandon(job: Job, answer: JobAnswer): void {
+  private rememberAbandoned(job: Job, answer: JobAnswer): void {
     const { caller, spec } = job
     this.abandoned.set(job.id, { caller, submissionKey: spec.submissionKey, answer })
     for (const oldest of this.abandoned.keys()) {
@@ -236,10 +237,10 @@
   }
 
   /**
-   * Gives the key of an abandoned job back where its claim was or may still be committed. The
-   * release also stands in the log against a claim that is committed after it.
+   * Releases the key of an abandoned job if its claim was committed or may still be. A release that
+   * precedes the claim in the log also keeps that claim from taking effect.
    */
-  private settleAbandoned(
+  private resolveAbandoned(
     now: number,
     jobId: string,
     answer: ClaimAnswer | undefined,
@@ -249,7 +250,7 @@
     if (claim === undefined) return
     const isGranted = answer?.verdict === ClaimVerdict.GRANTED
     if (isGranted || (answer === undefined && mayBeClaimed)) {
-      this.endClaim(now, jobId, claim.caller, claim.submissionKey, NOTHING)
+      this.endClaim(now, jobId, claim.caller, claim.submissionKey, EMPTY_ANSWER)
       return
     }
     this.abandoned.delete(jobId)
