--- a/packages/coordinator/src/lib/jobs/Job.ts
+++ b/packages/coordinator/src/lib/jobs/Job.ts
@@ -3,14 +3,14 @@
 import type { Placement } from './Placement'
 import type { Waiter } from './Waiter'
 
-/** Where a task stands with its coordinator. @internal */
+/** State of a task at its coordinator. @internal */
 export enum TaskPhase {
-  /** With no owner: not placed yet, or truly not run at those that had it. */
+  /** Not with an owner: not placed yet, or known not to have run at any owner that had it. */
   Waiting = 'waiting',
   /** Placed; it may be running. */
   InFlight = 'in_flight',
   Succeeded = 'succeeded',
-  /** It ran and failed, or may have run. */
+  /** It ran and failed, or its outcome is unknown. */
   Failed = 'failed',
 }
 
@@ -24,19 +24,19 @@
   attempt: number
   output: string
   /**
-   * Instances that said "not run". None of them gets the task again, so that a repeated report
-   * of an earlier attempt can't be taken for one of the present attempt.
+   * Instances that reported the task as not run. They are not given the task again, so that a
+   * repeated report on an earlier attempt cannot be mistaken for one on the current attempt.
    */
   refusedBy: readonly string[]
-  /** Instances that would not queue it: they fenced its id, or passed it on to another one. */
-  avoided: readonly string[]
+  /** Instances that would not queue the task, as they fenced its id or passed the task on. */
+  avoidedOwners: readonly string[]
 }
 
-/** Where a job stands with its coordinator. @internal */
+/** State of a job at its coordinator. @internal */
 export enum JobPhase {
-  /** It waits for the claim of its key; nothing is placed. */
+  /** Waiting for the claim on its submission key; no task is placed. */
   Claiming = 'claiming',
-  /** Its key is held by another job, whose answer is awaited. */
+  /** Waiting for the answer of another job that holds its submission key. */
   Joining = 'joining',
   Running = 'running',
   Ended = 'ended',
@@ -55,9 +55,9 @@
   readonly traceparent: string
 }
 
-const NOBODY: readonly string[] = []
+const NO_INSTANCES: readonly string[] = []
 
-/** One job that this coordinator answers for. @internal */
+/** A job that this coordinator is responsible for. @internal */
 export class Job {
   readonly id: string
   readonly sequence: number
@@ -65,22 +65,22 @@
   readonly startedAt: number
   readonly deadlineAt: number
   readonly respondAsync: boolean
-  /** SHA-256 of the content; empty for a job without a key. */
+  /** SHA-256 of the content; empty for a job without a submission key. */
   readonly contentHash: string
-  /** Span of the whole job, as the parent of its placements. */
+  /** Span of the whole job; parent of its placement spans. */
   readonly traceparent: string
   readonly tasks: readonly TaskRecord[]
   readonly waiters: Waiter[] = []
   phase = JobPhase.Running
-  /** The job that holds the key, for one that joined it. */
+  /** Id of the job that holds the submission key, if this job joined it; otherwise empty. */
   joinedId = ''
-  /** Whether this job holds the claim of its key. */
+  /** Whether this job holds the claim on its submission key. */
   claimed = false
   placements = 0
-  /** Questions about late tasks so far. */
-  questions = 0
-  /** Whether the time of the next question is set. */
-  questionDue = false
+  /** Number of checks for late tasks so far. */
+  lateChecks = 0
+  /** Whether a timer for the next check is running. */
+  lateCheckScheduled = false
   private inFlightCount = 0
   private succeededCount = 0
   private failedCount = 0
@@ -102,8 +102,8 @@
       placement: undefined,
       attempt: 0,
       output: '',
-      refusedBy: NOBODY,
-      avoided: NOBODY,
+      refusedBy: NO_INSTANCES,
+      avoidedOwners: NO_INSTANCES,
     }))
   }
 
@@ -115,7 +115,7 @@
     return this.spec.submissionKey !== ''
   }
 
-  /** Tasks without a success. */
+  /** Number of tasks that have not succeeded. */
   get remaining(): number {
     return this.tasks.length - this.succeededCount
   }
@@ -129,53 +129,53 @@
   }
 
   /**
-   * What may be said of a job that ends without success. NOT_RUN needs proof: no task is with an
-   * owner, and none of them ran or may have run.
+   * Outcome to report for a job that ends without success. NOT_RUN requires proof: no task is in
+   * flight, and no task ran or may have run.
    */
   get outcomeWithoutSuccess(): Outcome {
     if (this.phase === JobPhase.Joining) return Outcome.UNKNOWN
-    const untouched = this.inFlightCount + this.succeededCount + this.failedCount === 0
-    return untouched ? Outcome.NOT_RUN : Outcome.UNKNOWN
+    const noneMayHaveRun = this.inFlightCount + this.succeededCount + this.failedCount === 0
+    return noneMayHaveRun ? Outcome.NOT_RUN : Outcome.UNKNOWN
   }
 
   markPlaced(task: TaskRecord, placement: Placement): void {
     task.phase = TaskPhase.InFlight
     task.placement = placement
-    placement.open++
+    placement.openTasks++
     this.inFlightCount++
   }
 
   markSucceeded(task: TaskRecord, output: string): void {
-    this.leaveFlight(task, TaskPhase.Succeeded)
+    this.removeFromFlight(task, TaskPhase.Succeeded)
     this.succeededCount++
     task.output = output
   }
 
-  /** The task ran and failed, or nobody can tell. */
+  /** Marks a task that ran and failed, or whose outcome is unknown. */
   markFailed(task: TaskRecord): void {
     if (task.placement !== undefined) task.placement.ok = false
-    this.leaveFlight(task, TaskPhase.Failed)
+    this.removeFromFlight(task, TaskPhase.Failed)
     this.failedCount++
   }
 
-  /** The task truly did not run, as its owner and the instance that reports say. */
+  /** Marks a task that is known not to have run at its owner and at the reporting instance. */
   markNotRun(task: TaskRecord, from: string): void {
     const owner = task.placement?.owner ?? from
     if (task.placement !== undefined) task.placement.ok = false
-    this.leaveFlight(task, TaskPhase.Waiting)
+    this.removeFromFlight(task, TaskPhase.Waiting)
     task.attempt++
     task.refusedBy = owner === from ? [...task.refusedBy, from] : [...task.refusedBy, owner, from]
   }
 
-  /** Another owner says that it has the task now. */
+  /** Records that another owner reported that it has the task. */
   markPassedOn(task: TaskRecord, placement: Placement): void {
-    if (task.placement !== undefined) task.placement.open--
+    if (task.placement !== undefined) task.placement.openTasks--
     task.placement = placement
-    placement.open++
+    placement.openTasks++
   }
 
-  private leaveFlight(task: TaskRecord, phase: TaskPhase): void {
-    if (task.placement !== undefined) task.placement.open--
+  private removeFromFlight(task: TaskRecord, phase: TaskPhase): void {
+    if (task.placement !== undefined) task.placement.openTasks--
     task.phase = phase
     this.inFlightCount--
   }
--- a/packages/coordinator/src/lib/placement/LossWatch.test.ts
+++ b/packages/coordinator/src/lib/placement/LossWatch.test.ts
@@ -10,13 +10,13 @@
   succeeded,
 } from '../fixtures/CoordinatorFixture'
 
-/** Lease, margin and a tick. */
+/** Lease, margin and one tick. */
 const LEASE_END_MS = 3320
 const RETRY_MS = 2500
 
 const self: MemberInit = { instance: SELF, slots: 0 }
 
-/** A job of two tasks at `a2`; `b2` offers the service only from then on. */
+/** Places a job of two tasks at `a2`; `b2` offers the service only afterwards. */
 function placedAtA2(): CoordinatorFixture {
   const fixture = new CoordinatorFixture()
   fixture.members(self, { instance: 'a2' })
@@ -29,8 +29,8 @@
   fixture.members(self, { instance: 'a2', ...a2 }, { instance: 'b2', zone: 'b' })
 }
 
-describe('an owner that falls silent', () => {
-  it('fails nothing while its lease may still run, and is asked when it is back', () => {
+describe('an owner that becomes unreachable', () => {
+  it('fails no task before its lease can expire, and is queried when it returns', () => {
     const fixture = placedAtA2()
     const heardAt = fixture.now
     fixture.advance(1000)
@@ -38,15 +38,15 @@
     fixture.advance(1000)
     assert.deepEqual(fixture.replies('r1'), [])
     view(fixture, {})
-    const [question] = fixture.sent('fenceTasks')
-    assert.equal(question?.to, 'a2')
-    assert.deepEqual(question.value.indexes, [0, 1])
+    const [query] = fixture.sent('fenceTasks')
+    assert.equal(query?.to, 'a2')
+    assert.deepEqual(query.value.indexes, [0, 1])
     fixture.fence('a2', fixture.jobId, FenceState.IN_PROGRESS, 0, 1)
     fixture.report('a2', fixture.jobId, succeeded(0), succeeded(1))
     assert.equal(fixture.reply('r1')?.state, JobState.SUCCEEDED)
   })
 
-  it('makes its tasks unknown once the lease has run out; they are never placed again', () => {
+  it('gives its tasks an unknown outcome at lease expiry; they are never placed again', () => {
     const fixture = placedAtA2()
     const heardAt = fixture.now
     fixture.advance(1000)
@@ -60,7 +60,7 @@
     assert.equal(fixture.machine.counters.tasksLost, 2)
   })
 
-  it('gets another lease when it came back in between', () => {
+  it('gets a new lease period when it returned in between', () => {
     const fixture = placedAtA2()
     view(fixture, { alive: false, heardAt: fixture.now })
     fixture.advance(3000)
@@ -72,12 +72,12 @@
     assert.equal(fixture.reply('r1')?.reason, Reason.OWNER_LOST)
   })
 
-  it('is looked for in its zone: one that drained may have passed its queue on', () => {
+  it('has its zone queried, as a draining owner may have passed its queue on', () => {
     const fixture = placedAtA2()
-    const gone: MemberInit = { instance: 'a2', alive: false, heardAt: fixture.now }
-    fixture.members(self, gone, { instance: 'a3' }, { instance: 'b2', zone: 'b' })
-    const asked = fixture.sent('fenceTasks').map(({ to }) => to)
-    assert.deepEqual(asked.sort(), [SELF, 'a3'])
+    const lost: MemberInit = { instance: 'a2', alive: false, heardAt: fixture.now }
+    fixture.members(self, lost, { instance: 'a3' }, { instance: 'b2', zone: 'b' })
+    const queried = fixture.sent('fenceTasks').map(({ to }) => to)
+    assert.deepEqual(queried.sort(), [SELF, 'a3'])
     fixture.fence('a3', fixture.jobId, FenceState.IN_PROGRESS, 0, 1)
     fixture.fence(SELF, fixture.jobId, FenceState.NEVER_SEEN, 0, 1)
     fixture.advance(LEASE_END_MS)
@@ -88,7 +88,7 @@
 })
 
 describe('an owner that passed tasks on', () => {
-  it('does not get them back when the next one refuses them', () => {
+  it('is not given them again when the next owner refuses them', () => {
     const fixture = placedAtA2()
     const members = [self, { instance: 'a2' }, { instance: 'a3' }, { instance: 'b2', zone: 'b' }]
     fixture.members(...members)
@@ -100,7 +100,7 @@
 })
 
 describe('an owner that never saw the tasks', () => {
-  it('is believed once a later view shows the boot that was asked', () => {
+  it('is trusted once a later view shows the boot that was queried', () => {
     const fixture = placedAtA2()
     fixture.fence('a2', fixture.jobId, FenceState.NEVER_SEEN, 0, 1)
     fixture.advance(RETRY_MS)
@@ -112,7 +112,7 @@
     assert.equal(fixture.reply('r1')?.state, JobState.SUCCEEDED)
   })
 
-  it('is believed at once when it is the own instance', () => {
+  it('is trusted at once when it is the local instance', () => {
     const fixture = new CoordinatorFixture()
     fixture.members({ instance: SELF })
     fixture.submit(makeSpec())
@@ -121,7 +121,7 @@
     assert.equal(fixture.reply('r1')?.outcome, Outcome.NOT_RUN)
   })
 
-  it('is not believed when it restarted: the boot before it may have started them', () => {
+  it('is not trusted after a restart, as the earlier boot may have started them', () => {
     const fixture = placedAtA2()
     fixture.fence('a2', fixture.jobId, FenceState.NEVER_SEEN, 0, 1)
     fixture.advance(10)
@@ -137,7 +137,7 @@
     assert.deepEqual(fixture.placed, ['a2:0,1'])
   })
 
-  it('is not believed after it said that it has them: that was its earlier boot', () => {
+  it('is not trusted after an earlier boot of it reported that it has them', () => {
     const fixture = placedAtA2()
     view(fixture, { boot: 2 })
     fixture.fence('a2', fixture.jobId, FenceState.IN_PROGRESS, 0, 1)
@@ -152,7 +152,7 @@
     assert.deepEqual(fixture.placed, ['a2:0,1'])
   })
 
-  it('is not believed when it may have forgotten them', () => {
+  it('is not trusted when its record of them may have expired', () => {
     const fixture = new CoordinatorFixture()
     fixture.members(self, { instance: 'a2' })
     const request = fixture.submit(makeSpec({ deadlineInMs: 100_000 }))
@@ -166,7 +166,7 @@
     assert.equal(fixture.reply(request)?.outcome, Outcome.UNKNOWN)
   })
 
-  it('does not speak for the owner that has them', () => {
+  it('proves nothing when another owner has them', () => {
     const fixture = placedAtA2()
     fixture.fence('b2', fixture.jobId, FenceState.NEVER_SEEN, 0, 1)
     fixture.advance(10)
@@ -175,7 +175,7 @@
     assert.deepEqual(fixture.placed, ['a2:0,1'])
   })
 
-  it('does not get an ended job placed again', () => {
+  it('does not cause an ended job to be placed again', () => {
     const fixture = placedAtA2()
     fixture.fence('a2', fixture.jobId, FenceState.NEVER_SEEN, 0, 1)
     fixture.callerGone('r1')
@@ -187,7 +187,7 @@
 })
 
 describe('an owner that restarted', () => {
-  it('keeps tasks that reached its new boot', () => {
+  it('keeps tasks that arrived at its new boot', () => {
     const fixture = placedAtA2()
     view(fixture, { boot: 2 })
     assert.equal(fixture.sent('fenceTasks').at(-1)?.to, 'a2')
@@ -200,7 +200,7 @@
 })
 
 describe('a task that is much later than expected', () => {
-  it('is asked after, less and less often, with one message for each owner and job', () => {
+  it('is queried at growing intervals, with one message for each owner and job', () => {
     const fixture = placedAtA2()
     fixture.advance(990)
     assert.equal(fixture.sent('fenceTasks').length, 0)
--- a/packages/coordinator/src/lib/placement/LossWatch.ts
+++ b/packages/coordinator/src/lib/placement/LossWatch.ts
@@ -16,14 +16,14 @@
 import type { Retries } from './Retries'
 import type { TaskFlight } from './TaskFlight'
 
-/** An owner's word that it never saw a task, until its boot is confirmed. */
+/** A "never seen" reply from an owner whose boot at the time of the reply is not confirmed yet. */
 interface UnconfirmedFence {
   readonly task: TaskRecord
   readonly placement: Placement
   readonly receivedAt: number
 }
 
-/** Boot of no process: nobody speaks for the task any more. */
+/** Boot number that matches no process: which boot of the owner has the task is unknown. */
 const NO_BOOT = -1
 
 const neverSeen = problem(Reason.OWNER_LOST, 'The message with the task was lost on its way.')
@@ -33,8 +33,8 @@
 )
 
 /**
- * Finds out what became of tasks whose owner is silent, restarted or late, and gives them up
- * once their lease has run out.
+ * Queries owners about tasks whose owner is unreachable, restarted or late, and fails the tasks
+ * once their leases have expired.
  *
  * @internal
  */
@@ -56,43 +56,47 @@
       this.context.outbox.forgetCancels(change.instance)
     if (tasks.size === 0) return
     if (change.kind === MemberChangeKind.Back) {
-      this.ask(change.instance, tasks)
+      this.sendFenceRequests(change.instance, tasks)
       return
     }
     counters.ownersLost++
-    this.scheduleLoss(now, change)
-    // An owner that drained may have passed its queue on to another one of its zone.
-    for (const mate of this.context.members.zoneMates(change.instance)) this.ask(mate, tasks)
-    if (change.kind === MemberChangeKind.Restarted) this.ask(change.instance, tasks)
+    this.scheduleLeaseExpiry(now, change)
+    // A draining owner may have passed its queued tasks on to another owner in its zone.
+    for (const peer of this.context.members.zoneMates(change.instance))
+      this.sendFenceRequests(peer, tasks)
+    if (change.kind === MemberChangeKind.Restarted) this.sendFenceRequests(change.instance, tasks)
   }
 
-  /** The leases of a lost owner's tasks have run out, unless it came back. */
+  /** Fails the tasks of a lost owner once their leases have expired, unless it has returned. */
   ownerGone(now: number, owner: string, boot: number): void {
     const { members, inFlight } = this.context
     if (members.isPresent(owner, boot)) return
-    if (members.bootOf(owner) === boot && now < this.leaseEnd(owner)) {
-      this.context.due.schedule(this.leaseEnd(owner), { kind: DueKind.OwnerGone, owner, boot })
+    if (members.bootOf(owner) === boot && now < this.leaseEndAt(owner)) {
+      this.context.due.schedule(this.leaseEndAt(owner), { kind: DueKind.OwnerGone, owner, boot })
       return
     }
     const lost = [...inFlight.of(owner)].filter((task) => task.placement?.boot === boot)
-    this.giveUp(now, lost)
+    this.failLostTasks(now, lost)
   }
 
-  /** Some task of the job takes far longer than expected: a message may have been lost. */
+  /**
+   * Queries owners about tasks that run much longer than expected, as a message may have been
+   * lost. Repeats with exponential back-off until the job ends.
+   */
   askAfterLate(now: number, job: Job): void {
     if (job.phase !== JobPhase.Running) return
-    job.questionDue = false
+    job.lateCheckScheduled = false
     const { timing, members, due } = this.context
     const late = job.tasks.filter((task) => isOlderThan(task, now - timing.askAfterMs))
-    const gone: TaskRecord[] = []
+    const expired: TaskRecord[] = []
     for (const [owner, tasks] of groupBy(late, ownerOf)) {
-      if (members.isAlive(owner)) this.ask(owner, tasks)
-      else if (now >= this.leaseEnd(owner)) gone.push(...tasks)
+      if (members.isAlive(owner)) this.sendFenceRequests(owner, tasks)
+      else if (now >= this.leaseEndAt(owner)) expired.push(...tasks)
     }
-    this.giveUp(now, gone)
-    const nextAt = now + Math.min(timing.askEveryMaxMs, timing.askAfterMs * 2 ** job.questions++)
+    this.failLostTasks(now, expired)
+    const nextAt = now + Math.min(timing.askEveryMaxMs, timing.askAfterMs * 2 ** job.lateChecks++)
     if (job.tasksEnded === job.tasks.length || nextAt >= job.deadlineAt) return
-    job.questionDue = true
+    job.lateCheckScheduled = true
     due.schedule(nextAt, { kind: DueKind.AskAfterLate, sequence: job.sequence })
   }
 
@@ -104,73 +108,80 @@
     for (const { index, state } of message.reports) {
       const task = job.tasks[index]
       if (task?.phase !== TaskPhase.InFlight) continue
-      if (state === FenceState.NEVER_SEEN && this.isNeverSeen(now, from, task)) notRun.push(task)
+      if (state === FenceState.NEVER_SEEN && this.acceptNeverSeen(now, from, task))
+        notRun.push(task)
       if (state !== FenceState.IN_PROGRESS || this.isKnownOwner(from, task)) continue
-      adopted ??= this.adoptingPlacement(now, job, from)
+      adopted ??= this.createAdoptedPlacement(now, job, from)
       if (task.placement !== undefined && task.placement.owner !== from) {
-        avoid(task, task.placement.owner)
+        avoidOwner(task, task.placement.owner)
       }
       this.flight.passOn(now, task, adopted)
     }
-    this.withdraw(now, job, notRun, from)
+    this.retryNotRun(now, job, notRun, from)
   }
 
-  /** A new view may confirm that an owner answered in the boot that was asked. */
+  /**
+   * Accepts "never seen" replies from owners whose heartbeat, received after the reply, still shows
+   * the boot that the tasks were placed with.
+   */
   confirmFences(now: number): void {
     for (const [owner, fences] of this.unconfirmed) {
       const heardAt = this.context.members.heardAt(owner)
-      const ripe = fences.filter((fence) => heardAt > fence.receivedAt)
-      if (ripe.length === 0) continue
-      const rest = fences.filter((fence) => heardAt <= fence.receivedAt)
-      if (rest.length === 0) this.unconfirmed.delete(owner)
-      else this.unconfirmed.set(owner, rest)
+      const confirmable = fences.filter((fence) => heardAt > fence.receivedAt)
+      if (confirmable.length === 0) continue
+      const remaining = fences.filter((fence) => heardAt <= fence.receivedAt)
+      if (remaining.length === 0) this.unconfirmed.delete(owner)
+      else this.unconfirmed.set(owner, remaining)
       const boot = this.context.members.bootOf(owner)
-      const confirmed = ripe.filter((fence) => isCurrent(fence) && fence.placement.boot === boot)
+      const confirmed = confirmable.filter(
+        (fence) => isCurrent(fence) && fence.placement.boot === boot,
+      )
       const byJob = groupBy(confirmed, (fence) => fence.task.job)
       for (const [job, group] of byJob) {
         const tasks = group.map((fence) => fence.task)
-        this.withdraw(now, job, tasks, owner)
+        this.retryNotRun(now, job, tasks, owner)
       }
     }
   }
 
-  private withdraw(now: number, job: Job, tasks: readonly TaskRecord[], from: string): void {
+  private retryNotRun(now: number, job: Job, tasks: readonly TaskRecord[], from: string): void {
     if (tasks.length === 0) return
     for (const task of tasks) this.flight.withdraw(now, task, from)
     this.retries.consider(now, job, tasks, neverSeen)
   }
 
   /**
-   * Whether an owner's "never seen" may be believed at once. It counts only for the boot that the
-   * task was placed with: a new process knows nothing of what the old one started. The report
-   * does not name its boot, so a view that is heard later has to.
+   * Returns whether a "never seen" reply proves at once that the task did not run. It does so only
+   * for the boot that the task was placed with, as a restarted process has no record of tasks that
+   * the earlier one started. The reply does not carry a boot, so the reply of another instance is
+   * stored until a later heartbeat confirms the boot.
    */
-  private isNeverSeen(now: number, from: string, task: TaskRecord): boolean {
+  private acceptNeverSeen(now: number, from: string, task: TaskRecord): boolean {
     const { placement } = task
     if (placement === undefined) return false
     if (placement.owner !== from) {
-      avoid(task, from)
+      avoidOwner(task, from)
       return false
     }
     const isTooOld = now - placement.placedAt > this.context.timing.fenceTrustMs
     if (placement.isAdopted || isTooOld) {
-      this.disown(now, task, placement)
+      this.awaitLeaseExpiry(now, task, placement)
       return false
     }
     if (from === this.context.options.instance) return true
     const fence = { task, placement, receivedAt: now }
-    const present = this.unconfirmed.get(from)
-    if (present === undefined) this.unconfirmed.set(from, [fence])
-    else if (!present.some((other) => other.task === task)) present.push(fence)
+    const existing = this.unconfirmed.get(from)
+    if (existing === undefined) this.unconfirmed.set(from, [fence])
+    else if (!existing.some((other) => other.task === task)) existing.push(fence)
     return false
   }
 
   /**
-   * An owner's "never seen" proves nothing. It may have forgotten the task; or it said before that
-   * it has the task, which was an earlier boot of it then. What was started is not known, so the
-   * task ends as unknown after a lease.
+   * Handles a "never seen" reply that proves nothing: the owner may have dropped its record of the
+   * task, or an earlier boot of it reported that it had the task. Whether the task was started is
+   * not known, so it ends with an unknown outcome after one lease.
    */
-  private disown(now: number, task: TaskRecord, { owner, spanId }: Placement): void {
+  private awaitLeaseExpiry(now: number, task: TaskRecord, { owner, spanId }: Placement): void {
     const { due, timing } = this.context
     this.flight.passOn(now, task, adoptedPlacement(now, owner, NO_BOOT, spanId))
     const at = now + timing.leaseMs + timing.leaseMarginMs
@@ -182,13 +193,13 @@
     return placement?.owner === from && placement.boot === this.context.members.bootOf(from)
   }
 
-  private adoptingPlacement(now: number, job: Job, owner: string): Placement {
+  private createAdoptedPlacement(now: number, job: Job, owner: string): Placement {
     this.context.counters.passedOnReports++
     const spanId = deriveSpanId(`${job.id}/place/${job.placements++}`)
     return adoptedPlacement(now, owner, this.context.members.bootOf(owner), spanId)
   }
 
-  private giveUp(now: number, tasks: readonly TaskRecord[]): void {
+  private failLostTasks(now: number, tasks: readonly TaskRecord[]): void {
     const lost = tasks.filter((task) => task.phase === TaskPhase.InFlight)
     this.context.counters.tasksLost += lost.length
     for (const [job, group] of groupBy(lost, (task) => task.job)) {
@@ -197,7 +208,7 @@
     }
   }
 
-  private ask(owner: string, tasks: Iterable<TaskRecord>): void {
+  private sendFenceRequests(owner: string, tasks: Iterable<TaskRecord>): void {
     for (const [job, group] of groupBy(tasks, (task) => task.job)) {
       const indexes = group.map((task) => task.index)
       const value = create(FenceTasksSchema, { jobId: job.id, indexes })
@@ -206,24 +217,24 @@
     }
   }
 
-  private scheduleLoss(now: number, change: MemberChange): void {
+  private scheduleLeaseExpiry(now: number, change: MemberChange): void {
     const { timing, due } = this.context
     const { kind, instance, boot, heardAt } = change
     const leaseMs = timing.leaseMs + timing.leaseMarginMs
     const isRestart = kind === MemberChangeKind.Restarted
-    // When the earlier boot renewed its leases last is not known once a later one is heard.
+    // The last lease renewal of the earlier boot is not known, so a full lease is allowed from now.
     const at = isRestart ? now + leaseMs : Math.max(now, heardAt + leaseMs)
     due.schedule(at, { kind: DueKind.OwnerGone, owner: instance, boot })
   }
 
-  private leaseEnd(owner: string): number {
+  private leaseEndAt(owner: string): number {
     const { members, timing } = this.context
     return members.heardAt(owner) + timing.leaseMs + timing.leaseMarginMs
   }
 }
 
-function avoid(task: TaskRecord, instance: string): void {
-  if (!task.avoided.includes(instance)) task.avoided = [...task.avoided, instance]
+function avoidOwner(task: TaskRecord, instance: string): void {
+  if (!task.avoidedOwners.includes(instance)) task.avoidedOwners = [...task.avoidedOwners, instance]
 }
 
 function ownerOf(task: TaskRecord): string {
--- a/packages/coordinator/src/lib/placement/ReportDesk.test.ts
+++ b/packages/coordinator/src/lib/placement/ReportDesk.test.ts
@@ -22,11 +22,11 @@
   return fixture
 }
 
-describe('what may be said of a job that fails', () => {
-  // The reports of a job of two tasks at one owner, which has no other owner to go to.
+describe('the outcome of a failed job', () => {
+  // Reports on a job of two tasks at one owner, with no other owner to retry them at.
   const cases: readonly { name: string; reports: readonly TaskReport[]; outcome: Outcome }[] = [
     { name: 'no task ran', reports: [notRun(0), notRun(1)], outcome: Outcome.NOT_RUN },
-    { name: 'one did not run, one is out', reports: [notRun(0)], outcome: Outcome.UNKNOWN },
+    { name: 'one did not run, one is in flight', reports: [notRun(0)], outcome: Outcome.UNKNOWN },
     {
       name: 'one did not run, one ran',
       reports: [succeeded(0), notRun(1)],
@@ -38,12 +38,12 @@
       outcome: Outcome.UNKNOWN,
     },
     {
-      name: 'one did not run, one may have',
+      name: 'one did not run, one may have run',
       reports: [unknown(0), notRun(1)],
       outcome: Outcome.UNKNOWN,
     },
-    { name: 'one failed, one is out', reports: [failed(1)], outcome: Outcome.UNKNOWN },
-    { name: 'one may have run, one is out', reports: [unknown(1)], outcome: Outcome.UNKNOWN },
+    { name: 'one failed, one is in flight', reports: [failed(1)], outcome: Outcome.UNKNOWN },
+    { name: 'one may have run, one is in flight', reports: [unknown(1)], outcome: Outcome.UNKNOWN },
   ]
   for (const { name, reports, outcome } of cases) {
     it(`${Outcome[outcome]} when ${name}`, () => {
@@ -58,7 +58,7 @@
   }
 })
 
-describe('a task that truly did not run', () => {
+describe('a task that is known not to have run', () => {
   const retried = [
     Reason.ENDPOINT_REFUSED,
     Reason.NO_ENDPOINT,
@@ -67,7 +67,7 @@
     Reason.ENDPOINT_LOST,
   ]
   for (const reason of retried) {
-    it(`goes to another owner after ${Reason[reason]}`, () => {
+    it(`is placed with another owner after ${Reason[reason]}`, () => {
       const fixture = withOwners('a2', 'a3')
       const request = fixture.submit(makeSpec())
       const [first] = fixture.sent('placeTasks')
@@ -93,7 +93,7 @@
     })
   }
 
-  it('goes out again together with the others of its owner', () => {
+  it('is placed again in one message with the other tasks of its owner', () => {
     const fixture = withOwners('a2')
     fixture.submit(makeSpec({ tasks: 5 }))
     fixture.members({ instance: SELF, slots: 0 }, { instance: 'a2' }, { instance: 'a3' })
@@ -103,7 +103,7 @@
     assert.deepEqual(fixture.placed, ['a2:0,1,2,3,4', 'a3:0,1,2,3,4'])
   })
 
-  it('waits a little for the new owner when its endpoints are on the move', () => {
+  it('waits for a new owner when its endpoints are moving to another instance', () => {
     const fixture = withOwners('a2')
     const request = fixture.submit(makeSpec())
     fixture.report('a2', fixture.jobId, notRun(0, Reason.DRAINING))
@@ -114,7 +114,7 @@
     assert.deepEqual(fixture.placed, ['a2:0', 'a3:0'])
   })
 
-  it('never goes back to an owner that had it, so an old report can not stand for a new one', () => {
+  it('is never placed again with an owner that had it, so that old reports do not count', () => {
     const fixture = withOwners('a2', 'a3')
     const request = fixture.submit(makeSpec())
     const first = fixture.sent('placeTasks')[0]?.to ?? ''
@@ -132,13 +132,17 @@
     assert.equal(fixture.reply(request)?.outcome, Outcome.NOT_RUN)
   })
 
-  it('is not tried again without a budget, nor past the deadline', () => {
-    const poor = new CoordinatorFixture({ preset: { ...testPreset, retryBudget: 0 } })
-    poor.members({ instance: 'a2' }, { instance: 'a3' })
-    const request = poor.submit(makeSpec())
-    poor.report(poor.sent('placeTasks')[0]?.to ?? '', poor.jobId, notRun(0))
-    assert.equal(poor.reply(request)?.reason, Reason.RETRY_BUDGET)
-    assert.equal(poor.reply(request)?.outcome, Outcome.NOT_RUN)
+  it('is not retried without a retry budget or past the deadline', () => {
+    const withoutBudget = new CoordinatorFixture({ preset: { ...testPreset, retryBudget: 0 } })
+    withoutBudget.members({ instance: 'a2' }, { instance: 'a3' })
+    const request = withoutBudget.submit(makeSpec())
+    withoutBudget.report(
+      withoutBudget.sent('placeTasks')[0]?.to ?? '',
+      withoutBudget.jobId,
+      notRun(0),
+    )
+    assert.equal(withoutBudget.reply(request)?.reason, Reason.RETRY_BUDGET)
+    assert.equal(withoutBudget.reply(request)?.outcome, Outcome.NOT_RUN)
 
     const late = withOwners('a2', 'a3')
     const lateRequest = late.submit(makeSpec({ deadlineInMs: 1 }))
@@ -152,13 +156,23 @@
 describe('reports that do not count', () => {
   const own = (fixture: CoordinatorFixture): string => fixture.jobId
   const cases = [
-    { name: 'a second one for a task', jobId: own, index: 0, counter: 'repeatedReports' },
+    { name: 'a repeated report on a task', jobId: own, index: 0, counter: 'repeatedReports' },
     { name: 'a task that does not exist', jobId: own, index: 7, counter: 'foreignReports' },
-    { name: 'another coordinator', jobId: () => 'a9.2s.1', index: 1, counter: 'foreignReports' },
-    { name: 'an earlier boot', jobId: () => `${SELF}.1.1`, index: 1, counter: 'foreignReports' },
-    { name: 'an id that is none', jobId: () => 'x', index: 1, counter: 'foreignReports' },
     {
-      name: 'a job that is not known',
+      name: 'a job of another coordinator',
+      jobId: () => 'a9.2s.1',
+      index: 1,
+      counter: 'foreignReports',
+    },
+    {
+      name: 'a job of an earlier boot',
+      jobId: () => `${SELF}.1.1`,
+      index: 1,
+      counter: 'foreignReports',
+    },
+    { name: 'a malformed job id', jobId: () => 'x', index: 1, counter: 'foreignReports' },
+    {
+      name: 'an unknown job',
       jobId: () => `${SELF}.2s.zz`,
       index: 1,
       counter: 'lateReports',
@@ -186,7 +200,7 @@
     assert.equal(fixture.machine.counters.lateReports, 1)
   })
 
-  it('but a result does, from whoever had the task before', () => {
+  it('do not include a result from an earlier owner of the task', () => {
     const fixture = withOwners('a2')
     const request = fixture.submit(makeSpec())
     fixture.report('a2', fixture.jobId, notRun(0, Reason.DRAINING))
@@ -197,7 +211,7 @@
     assert.equal(fixture.reply(request)?.state, JobState.SUCCEEDED)
   })
 
-  it('but one from an owner that the task was passed on to does', () => {
+  it('do not include a report from an owner that the task was passed on to', () => {
     const fixture = withOwners('a2')
     const request = fixture.submit(makeSpec())
     fixture.report('a3', fixture.jobId, succeeded(0))
--- a/packages/coordinator/src/lib/placement/ReportDesk.ts
+++ b/packages/coordinator/src/lib/placement/ReportDesk.ts
@@ -11,12 +11,12 @@
 import { reportedProblem } from './Retries'
 import type { TaskFlight } from './TaskFlight'
 
-interface NotRun {
+interface NotRunReport {
   readonly task: TaskRecord
   readonly report: TaskReport
 }
 
-/** Takes in what owners report, once for each task. @internal */
+/** Processes task reports from owners, and ignores repeated ones. @internal */
 export class ReportDesk {
   constructor(
     private readonly context: CoordinatorContext,
@@ -26,10 +26,10 @@
   ) {}
 
   take(now: number, from: string, message: TaskReports): void {
-    for (const reports of message.jobs) this.takeJob(now, from, reports)
+    for (const reports of message.jobs) this.handleJobReports(now, from, reports)
   }
 
-  /** @returns undefined, with the message counted, when no running job of ours is meant */
+  /** @returns undefined, after counting the reports, when the job does not run at this coordinator */
   findJob(jobId: string, reports: number): Job | undefined {
     const { options, counters, jobs } = this.context
     const id = parseJobId(jobId)
@@ -42,12 +42,12 @@
     return job
   }
 
-  private takeJob(now: number, from: string, { jobId, reports }: JobReports): void {
+  private handleJobReports(now: number, from: string, { jobId, reports }: JobReports): void {
     this.context.counters.reports += reports.length
     const job = this.findJob(jobId, reports.length)
     if (job === undefined) return
     let failure: JobProblem | undefined
-    const notRun: NotRun[] = []
+    const notRun: NotRunReport[] = []
     for (const report of reports) {
       const task = this.findTask(job, from, report)
       if (task === undefined) continue
@@ -60,13 +60,13 @@
         failure ??= failureOf(report)
       }
     }
-    // The whole message counts before a failure is answered, so that the answer is exact.
+    // All reports are applied before the job fails, so that its answer states the exact outcome.
     if (failure !== undefined) this.ending.fail(now, job, failure)
     else if (job.remaining === 0) this.ending.succeed(now, job)
-    else this.considerAgain(now, job, notRun)
+    else this.retryNotRun(now, job, notRun)
   }
 
-  private considerAgain(now: number, job: Job, notRun: readonly NotRun[]): void {
+  private retryNotRun(now: number, job: Job, notRun: readonly NotRunReport[]): void {
     const byReason = groupBy(notRun, ({ report }) => report.reason)
     for (const group of byReason.values()) {
       const [first] = group
@@ -98,8 +98,8 @@
       counters.foreignReports++
       return undefined
     }
-    // One that said "not run" before may repeat itself: the task is with another owner now. Any
-    // other word of it counts, as the task may have been passed on to it since.
+    // A repeated "not run" from an owner is ignored, as the task has since been placed elsewhere.
+    // Any other report from it counts, as the task may have been passed on to it since.
     const isRepeated = report.outcome === Outcome.NOT_RUN && task.refusedBy.includes(from)
     if (task.phase !== TaskPhase.InFlight || isRepeated) {
       counters.repeatedReports++
--- a/packages/coordinator/src/lib/placement/Retries.ts
+++ b/packages/coordinator/src/lib/placement/Retries.ts
@@ -10,11 +10,11 @@
 import { DueKind } from '../timers/DueItem'
 import type { TaskPlacement } from './TaskPlacement'
 
-const DRAW_DIGITS = 8
-const DRAW_RANGE = 0x1_0000_0000
+const HASH_DIGITS = 8
+const HASH_RANGE = 0x1_0000_0000
 
-/** Reasons that another owner may not have. */
-const worthRetrying: ReadonlySet<Reason> = new Set([
+/** Reasons that may not apply at another owner. */
+const retryableReasons: ReadonlySet<Reason> = new Set([
   Reason.ENDPOINT_REFUSED,
   Reason.ENDPOINT_LOST,
   Reason.NO_ENDPOINT,
@@ -23,22 +23,22 @@
   Reason.OWNER_LOST,
 ])
 
-/** Reasons of owners whose endpoints are about to be offered by another one. */
-const movedAway: ReadonlySet<Reason> = new Set([
+/** Reasons after which another owner is expected to offer the same endpoints soon. */
+const movedEndpointReasons: ReadonlySet<Reason> = new Set([
   Reason.DRAINING,
   Reason.NO_ENDPOINT,
   Reason.OWNER_LOST,
 ])
 
 /** Half of the time between two heartbeats of an instance. */
-const LOOK_AGAIN_MS = 100
+const OWNER_RECHECK_MS = 100
 
 const noOtherOwner = problem(
   Reason.NO_ENDPOINT,
   'No other owner of the service takes a task that did not run.',
 )
 
-/** Places tasks again that truly did not run, as far as the budget goes. @internal */
+/** Places tasks that are known not to have run again, within the retry budget. @internal */
 export class Retries {
   constructor(
     private readonly context: CoordinatorContext,
@@ -47,41 +47,43 @@
   ) {}
 
   /**
-   * Decides about tasks of one job that were reported as not run.
+   * Schedules a retry of tasks of one job that were reported as not run, or fails the job.
    *
-   * The delay is drawn once for tasks of equal attempts, so that they go out in one message.
+   * Tasks with the same attempt number get the same delay, so that they are sent in one message.
    */
   consider(now: number, job: Job, tasks: readonly TaskRecord[], why: JobProblem): void {
     if (isDecidedAtDeadline(job, why)) return
-    if (!worthRetrying.has(why.reason)) {
+    if (!retryableReasons.has(why.reason)) {
       this.ending.fail(now, job, why)
       return
     }
-    const patienceMs = movedAway.has(why.reason) ? this.context.timing.ownerPatienceMs : 0
-    const due = new Map<number, TaskRecord[]>()
+    const newOwnerWaitMs = movedEndpointReasons.has(why.reason)
+      ? this.context.timing.ownerPatienceMs
+      : 0
+    const byDelay = new Map<number, TaskRecord[]>()
     for (const task of tasks) {
-      const delayMs = this.delayMs(now, job, task)
+      const delayMs = this.takeRetryDelayMs(now, job, task)
       if (delayMs === undefined) {
-        this.ending.fail(now, job, outOfBudget(why))
+        this.ending.fail(now, job, budgetExhausted(why))
         return
       }
       if (now + delayMs >= job.deadlineAt) {
         this.ending.fail(now, job, why)
         return
       }
-      const present = due.get(delayMs)
-      if (present === undefined) due.set(delayMs, [task])
-      else present.push(task)
+      const existing = byDelay.get(delayMs)
+      if (existing === undefined) byDelay.set(delayMs, [task])
+      else existing.push(task)
     }
-    for (const [delayMs, group] of due) {
+    for (const [delayMs, group] of byDelay) {
       const indexes = group.map((task) => task.index)
       const at = now + delayMs
-      if (delayMs > 0) this.schedule(at, job, indexes, at + patienceMs)
-      else this.placeAgain(now, job, indexes, now + patienceMs)
+      if (delayMs > 0) this.schedule(at, job, indexes, at + newOwnerWaitMs)
+      else this.placeAgain(now, job, indexes, now + newOwnerWaitMs)
     }
   }
 
-  /** The delay of some tasks is over. */
+  /** Places tasks whose retry delay has passed; rechecks until `giveUpAt` if no owner takes them. */
   placeAgain(now: number, job: Job, indexes: readonly number[], giveUpAt: number): void {
     if (job.phase !== JobPhase.Running) return
     const waiting = indexes.flatMap((index) => job.tasks[index] ?? []).filter(isWaiting)
@@ -91,9 +93,9 @@
       if (routes !== undefined) {
         this.context.counters.tasksPlacedAgain += group.length
         this.placement.send(now, job, routes)
-      } else if (now + LOOK_AGAIN_MS < Math.min(giveUpAt, job.deadlineAt)) {
-        const left = group.map((task) => task.index)
-        this.schedule(now + LOOK_AGAIN_MS, job, left, giveUpAt)
+      } else if (now + OWNER_RECHECK_MS < Math.min(giveUpAt, job.deadlineAt)) {
+        const indexesLeft = group.map((task) => task.index)
+        this.schedule(now + OWNER_RECHECK_MS, job, indexesLeft, giveUpAt)
       } else {
         this.ending.fail(now, job, noOtherOwner)
         return
@@ -101,9 +103,13 @@
     }
   }
 
-  private delayMs(now: number, job: Job, task: TaskRecord): number | undefined {
+  private takeRetryDelayMs(now: number, job: Job, task: TaskRecord): number | undefined {
     const retried = task.attempt - 1
-    return this.context.policies.retries.takeRetry(now, retried, draw(`${job.id}/${task.attempt}`))
+    return this.context.policies.retries.takeRetry(
+      now,
+      retried,
+      hashToUnitInterval(`${job.id}/${task.attempt}`),
+    )
   }
 
   private schedule(at: number, job: Job, indexes: readonly number[], giveUpAt: number): void {
@@ -112,15 +118,16 @@
   }
 }
 
-/** The problem that an owner's report tells of. @internal */
+/** Converts an owner's report to a job problem. @internal */
 export function reportedProblem(report: TaskReport): JobProblem {
   return problem(report.reason, report.detail, report.retryAfterMs)
 }
 
 /**
- * An owner dropped tasks because their deadline passed, which is a little before the job's. The
- * other owners give their word in the same moment, so the job ends with the last of them, or at
- * its deadline: it may turn out that none of it ran.
+ * Returns whether the job's outcome should be left open until its deadline. Owners drop tasks at a
+ * deadline slightly before the job's, and all of them report at about the same time. The job
+ * therefore ends with the last report or at its own deadline, and can still be answered as not run
+ * if none of its tasks ran.
  */
 function isDecidedAtDeadline(job: Job, why: JobProblem): boolean {
   return why.reason === Reason.DEADLINE_PASSED && job.inFlight > 0 && job.tasksEnded === 0
@@ -130,12 +137,12 @@
   return task.phase === TaskPhase.Waiting
 }
 
-function outOfBudget(why: JobProblem): JobProblem {
+function budgetExhausted(why: JobProblem): JobProblem {
   const detail = `The retry budget is used up after: ${why.detail}`
   return problem(Reason.RETRY_BUDGET, detail, why.retryAfterMs)
 }
 
-/** A number from 0 to 1 that is fixed by the seed, as machines draw no random numbers. */
-function draw(seed: string): number {
-  return parseInt(hash64(seed).slice(0, DRAW_DIGITS), 16) / DRAW_RANGE
+/** Maps a seed to a number from 0 to 1, as state machines must not use random numbers. */
+function hashToUnitInterval(seed: string): number {
+  return parseInt(hash64(seed).slice(0, HASH_DIGITS), 16) / HASH_RANGE
 }
--- a/packages/coordinator/src/lib/placement/TaskFlight.ts
+++ b/packages/coordinator/src/lib/placement/TaskFlight.ts
@@ -5,8 +5,9 @@
 import { placementSpan } from '../jobs/jobSpans'
 
 /**
- * Moves tasks into flight and out of it, and keeps all books on that in step: the job's counts,
- * the tasks of each owner, the unreported load and the spans of the hops.
+ * Applies the state changes of placed tasks and keeps all derived state consistent: the job's
+ * counts, the tasks of each owner, the load not yet in the owners' heartbeats and the placement
+ * spans.
  *
  * @internal
  */
@@ -21,40 +22,40 @@
   }
 
   succeed(now: number, task: TaskRecord, output: string): void {
-    const left = this.leave(task)
+    const previous = this.detachFromOwner(task)
     task.job.markSucceeded(task, output)
-    this.closeIfEmpty(now, task.job, left)
+    this.emitSpanIfSettled(now, task.job, previous)
   }
 
   fail(now: number, task: TaskRecord): void {
-    const left = this.leave(task)
+    const previous = this.detachFromOwner(task)
     task.job.markFailed(task)
-    this.closeIfEmpty(now, task.job, left)
+    this.emitSpanIfSettled(now, task.job, previous)
   }
 
-  /** The task truly did not run, as `from` says. */
+  /** Marks a task as not run, as reported by `from`. */
   withdraw(now: number, task: TaskRecord, from: string): void {
-    const left = this.leave(task)
+    const previous = this.detachFromOwner(task)
     task.job.markNotRun(task, from)
-    this.closeIfEmpty(now, task.job, left)
+    this.emitSpanIfSettled(now, task.job, previous)
   }
 
-  /** Another owner has the task now. */
+  /** Moves a task to the owner that it was passed on to. */
   passOn(now: number, task: TaskRecord, placement: Placement): void {
-    const left = this.leave(task)
+    const previous = this.detachFromOwner(task)
     task.job.markPassedOn(task, placement)
     this.context.inFlight.add(placement.owner, task)
-    this.closeIfEmpty(now, task.job, left)
+    this.emitSpanIfSettled(now, task.job, previous)
   }
 
-  /** The job is over: its tasks are nobody's concern here any more. */
+  /** Stops tracking the tasks of an ended job. @returns the owners that had tasks in flight */
   abandon(now: number, job: Job): ReadonlySet<string> {
     const owners = new Set<string>()
     const placements = new Set<Placement>()
     for (const task of job.tasks) {
       const { placement } = task
       if (placement === undefined || task.phase !== TaskPhase.InFlight) continue
-      this.leave(task)
+      this.detachFromOwner(task)
       placement.ok = false
       placements.add(placement)
       owners.add(placement.owner)
@@ -65,7 +66,7 @@
     return owners
   }
 
-  private leave(task: TaskRecord): Placement | undefined {
+  private detachFromOwner(task: TaskRecord): Placement | undefined {
     const { placement } = task
     if (placement === undefined) return undefined
     this.context.inFlight.remove(placement.owner, task)
@@ -73,8 +74,8 @@
     return placement
   }
 
-  private closeIfEmpty(now: number, job: Job, placement: Placement | undefined): void {
-    if (placement?.open !== 0) return
+  private emitSpanIfSettled(now: number, job: Job, placement: Placement | undefined): void {
+    if (placement?.openTasks !== 0) return
     this.context.outbox.span(placementSpan(job, placement, now))
   }
 }
--- a/packages/coordinator/src/lib/placement/TaskPlacement.ts
+++ b/packages/coordinator/src/lib/placement/TaskPlacement.ts
@@ -10,34 +10,34 @@
 import type { TaskFlight } from './TaskFlight'
 import { serviceOf } from './TaskFlight'
 
-/** A task is asked after once it takes this many times as long as it was expected to. */
+/** Owners are queried about a task once it takes this many times its expected duration. */
 const LATE_FACTOR = 3
-/** Largest share of the time left that owners may lose for the earlier deadline. */
+/** Upper bound of the deadline margin of owners, as a share of the time left. */
 const MAX_MARGIN_SHARE = 0.05
 
-/** Which owner gets each of some tasks. @internal */
+/** Tasks by the owner that they are assigned to. @internal */
 export type Routes = ReadonlyMap<string, readonly TaskRecord[]>
 
-/** Chooses owners for tasks and sends them there. @internal */
+/** Assigns tasks to owners and sends them. @internal */
 export class TaskPlacement {
   constructor(
     private readonly context: CoordinatorContext,
     private readonly flight: TaskFlight,
   ) {}
 
-  /** @returns undefined when some task has no owner that could take it */
+  /** @returns undefined when any of the tasks has no eligible owner */
   route(now: number, job: Job, tasks: readonly TaskRecord[]): Routes | undefined {
     const { policies, members, options } = this.context
-    const offers = withoutRefusing(members.offers, tasks)
+    const offers = withoutExcludedOwners(members.offers, tasks)
     const assigned = policies.router.assign(now, options.zone, tasks.map(routedTask), offers)
     if (assigned.length < tasks.length) return undefined
     const routes = new Map<string, TaskRecord[]>()
     for (const { index, instance } of assigned) {
       const task = job.tasks[index]
       if (task === undefined) continue
-      const present = routes.get(instance)
-      if (present === undefined) routes.set(instance, [task])
-      else present.push(task)
+      const existing = routes.get(instance)
+      if (existing === undefined) routes.set(instance, [task])
+      else existing.push(task)
     }
     return routes
   }
@@ -48,7 +48,7 @@
       this.sendTo(now, job, owner, tasks)
       expectedMs = Math.max(expectedMs, this.expectedMs(owner, tasks))
     }
-    this.scheduleQuestion(now, job, expectedMs)
+    this.scheduleLateCheck(now, job, expectedMs)
   }
 
   private sendTo(now: number, job: Job, owner: string, tasks: readonly TaskRecord[]): void {
@@ -67,15 +67,15 @@
       coordinator: options.instance,
       ownerBoot: placement.boot,
     })
-    value.tasks = tasks.map(placedTask)
+    value.tasks = tasks.map(toPlacedTask)
     counters.placeMessages++
     counters.tasksPlaced += tasks.length
     outbox.send(owner, { case: 'placeTasks', value })
   }
 
   /**
-   * Owners get a slightly earlier deadline than the caller's: what was still queued is reported
-   * as not run in time for an answer that says so.
+   * Owners get a slightly earlier deadline than the job, so that tasks still queued are reported as
+   * not run in time for the answer to the caller.
    */
   private ownerDeadlineInMs(now: number, job: Job): number {
     const leftMs = Math.max(0, job.deadlineAt - now)
@@ -92,28 +92,28 @@
     return longest
   }
 
-  private scheduleQuestion(now: number, job: Job, expectedMs: number): void {
+  private scheduleLateCheck(now: number, job: Job, expectedMs: number): void {
     const { askAfterMs, askAfterMaxMs } = this.context.timing
     const lateMs = Math.min(Math.max(askAfterMs, LATE_FACTOR * expectedMs), askAfterMaxMs)
     const at = now + lateMs
-    if (at >= job.deadlineAt || job.questionDue) return
-    job.questionDue = true
+    if (at >= job.deadlineAt || job.lateCheckScheduled) return
+    job.lateCheckScheduled = true
     this.context.due.schedule(at, { kind: DueKind.AskAfterLate, sequence: job.sequence })
   }
 }
 
-/** No owner that said "not run", fenced the id or passed the task on gets it again. */
-function withoutRefusing(
+/** Excludes owners that reported one of the tasks as not run, fenced its id or passed it on. */
+function withoutExcludedOwners(
   offers: readonly OwnerOffer[],
   tasks: readonly TaskRecord[],
 ): readonly OwnerOffer[] {
-  const refusing = new Set<string>()
+  const excluded = new Set<string>()
   for (const task of tasks) {
-    for (const instance of task.refusedBy) refusing.add(instance)
-    for (const instance of task.avoided) refusing.add(instance)
+    for (const instance of task.refusedBy) excluded.add(instance)
+    for (const instance of task.avoidedOwners) excluded.add(instance)
   }
-  if (refusing.size === 0) return offers
-  return offers.filter((offer) => !refusing.has(offer.instance))
+  if (excluded.size === 0) return offers
+  return offers.filter((offer) => !excluded.has(offer.instance))
 }
 
 /** @internal */
@@ -127,7 +127,7 @@
   }
 }
 
-function placedTask(task: TaskRecord): PlacedTask {
+function toPlacedTask(task: TaskRecord): PlacedTask {
   const placed = create(PlacedTaskSchema)
   const spec = task.job.spec.tasks[task.index]
   placed.index = task.index
--- a/packages/coordinator/src/lib/placement/TasksByOwner.ts
+++ b/packages/coordinator/src/lib/placement/TasksByOwner.ts
@@ -2,14 +2,14 @@
 
 const NONE: ReadonlySet<TaskRecord> = new Set()
 
-/** Tasks in flight by their owner, so that a lost owner's tasks are found without a search. @internal */
+/** Index of tasks in flight by owner, to find a lost owner's tasks without a scan. @internal */
 export class TasksByOwner {
   private readonly tasks = new Map<string, Set<TaskRecord>>()
 
   add(owner: string, task: TaskRecord): void {
-    const present = this.tasks.get(owner)
-    if (present === undefined) this.tasks.set(owner, new Set([task]))
-    else present.add(task)
+    const existing = this.tasks.get(owner)
+    if (existing === undefined) this.tasks.set(owner, new Set([task]))
+    else existing.add(task)
   }
 
   remove(owner: string, task: TaskRecord): void {
