--- a/packages/coordinator/src/lib/jobs/JobBook.ts
+++ b/packages/coordinator/src/lib/jobs/JobBook.ts
@@ -1,6 +1,6 @@
 import type { Job } from './Job'
 
-/** The jobs in flight, and how much of each caller they are. @internal */
+/** Jobs in flight, with the number of their tasks per caller. @internal */
 export class JobBook {
   private readonly bySequence = new Map<number, Job>()
   private readonly tasksOfCaller = new Map<string, number>()
--- a/packages/coordinator/src/lib/jobs/JobDesk.ts
+++ b/packages/coordinator/src/lib/jobs/JobDesk.ts
@@ -15,10 +15,10 @@
 
 const NO_ENDPOINT_RETRY_MS = 1000
 const DRAINING_RETRY_MS = 100
-/** Without any, all callers weigh the same. */
+/** With no weights set, all callers have the same weight. */
 const NO_WEIGHTS: ReadonlyMap<string, number> = new Map()
 
-/** A job as it was submitted, here or at the instance that sent it on. @internal */
+/** A job submitted to this instance, or forwarded by another one. @internal */
 export interface SubmitRequest {
   readonly spec: JobSpec
   readonly respondAsync: boolean
@@ -26,7 +26,7 @@
   readonly isForwarded: boolean
 }
 
-/** Takes jobs in: gives them their id, admits or refuses them, and starts them. @internal */
+/** Accepts submitted jobs: assigns ids, admits or refuses them, and starts them. @internal */
 export class JobDesk {
   private lastSequence = 0
   draining = false
@@ -37,7 +37,7 @@
     private readonly ending: JobEnding,
   ) {}
 
-  /** Takes a job without a key. */
+  /** Handles a job without a submission key. */
   submit(now: number, request: SubmitRequest): void {
     const job = this.admit(now, request, '')
     if (job !== undefined) this.start(now, job)
@@ -45,27 +45,27 @@
 
   /** @returns the job, or undefined when it was refused */
   admit(now: number, request: SubmitRequest, contentHash: string): Job | undefined {
-    const job = this.open(now, request, contentHash)
-    const why = this.refusal(now, job)
+    const job = this.createJob(now, request, contentHash)
+    const why = this.findRefusal(now, job)
     if (why !== undefined) {
       this.refuse(request, job.id, why)
       return undefined
     }
-    this.enter(now, job)
+    this.register(now, job)
     this.context.replies.attach(job, request.waiter)
     return job
   }
 
-  /** Refuses a submission that is not made a job. */
+  /** Refuses a submission without creating a job for it. */
   refuseUnopened(request: SubmitRequest, why: JobProblem): void {
     this.refuse(request, this.nextId().id, why)
   }
 
-  /** Time until the deadline of a job that arrives now. */
+  /** Time from the arrival of a job to its deadline. */
   deadlineInMs(spec: JobSpec): number {
     const { defaultDeadlineMs, maxDeadlineMs } = this.context.timing
-    const wantedMs = spec.deadlineInMs === 0 ? defaultDeadlineMs : spec.deadlineInMs
-    return Math.min(wantedMs, maxDeadlineMs)
+    const requestedMs = spec.deadlineInMs === 0 ? defaultDeadlineMs : spec.deadlineInMs
+    return Math.min(requestedMs, maxDeadlineMs)
   }
 
   private refuse({ spec, waiter }: SubmitRequest, jobId: string, why: JobProblem): void {
@@ -80,8 +80,8 @@
     return { id: formatJobId({ coordinator: instance, boot, sequence }), sequence }
   }
 
-  /** Makes a job out of what a caller sent. It is not in the book yet. */
-  private open(now: number, request: SubmitRequest, contentHash: string): Job {
+  /** Creates a job from a submission. It is not registered yet. */
+  private createJob(now: number, request: SubmitRequest, contentHash: string): Job {
     const { policies } = this.context
     const { spec, respondAsync } = request
     const { id, sequence } = this.nextId()
@@ -101,26 +101,26 @@
       respondAsync,
       estimatesMs,
       contentHash,
-      traceparent: ownTraceparent(spec.traceparent, id),
+      traceparent: jobTraceparent(spec.traceparent, id),
     })
   }
 
   /** @returns why the job is refused, or undefined when it is admitted */
-  private refusal(now: number, job: Job): JobProblem | undefined {
+  private findRefusal(now: number, job: Job): JobProblem | undefined {
     if (this.draining) {
       const detail = 'This instance is draining; another one takes the job.'
       return problem(Reason.DRAINING, detail, DRAINING_RETRY_MS)
     }
-    const malformed = this.malformed(now, job)
-    if (malformed !== undefined) return malformed
-    const decision = this.decide(now, job)
+    const invalid = this.validate(now, job)
+    if (invalid !== undefined) return invalid
+    const decision = this.decideAdmission(now, job)
     return decision.admitted
       ? undefined
       : problem(decision.reason, decision.detail, decision.retryAfterMs)
   }
 
-  /** Enters an admitted job into the book; from here on it has a deadline. */
-  private enter(now: number, job: Job): void {
+  /** Registers an admitted job and schedules its deadline. */
+  private register(now: number, job: Job): void {
     this.context.jobs.add(job)
     this.context.policies.retries.noteFresh(now, job.tasks.length)
     this.context.due.schedule(job.deadlineAt, { kind: DueKind.Deadline, sequence: job.sequence })
@@ -138,7 +138,7 @@
     this.context.replies.answerAsync(job, runningAnswer(job, this.context.policies))
   }
 
-  private malformed(now: number, job: Job): JobProblem | undefined {
+  private validate(now: number, job: Job): JobProblem | undefined {
     const { tasksPerJob } = this.context.limits
     if (job.tasks.length === 0) return problem(Reason.NEVER_FITS, 'A job needs at least one task.')
     if (job.tasks.length > tasksPerJob) {
@@ -148,24 +148,24 @@
     return problem(Reason.DEADLINE_PASSED, 'The deadline had passed when the job arrived.')
   }
 
-  private decide(now: number, job: Job): AdmissionDecision {
+  private decideAdmission(now: number, job: Job): AdmissionDecision {
     const { jobs, members, policies, options } = this.context
-    const ownTasks = jobs.tasksOf(job.caller)
+    const callerTasks = jobs.tasksOf(job.caller)
     return policies.admission.decide(now, {
       caller: job.caller,
       tasks: job.tasks.map(routedTask),
       deadlineAt: job.deadlineAt,
       offers: members.offers,
       jobsInFlight: jobs.size,
-      callerTasksInFlight: ownTasks,
+      callerTasksInFlight: callerTasks,
       tasksInFlight: jobs.tasksInFlight,
-      activeCallers: jobs.activeCallers + (ownTasks === 0 ? 1 : 0),
+      activeCallers: jobs.activeCallers + (callerTasks === 0 ? 1 : 0),
       callerWeight: relativeWeight(job.caller, jobs.callers(), options.callerWeights ?? NO_WEIGHTS),
       instances: Math.max(1, members.serving.length),
     })
   }
 }
 
-function ownTraceparent(parent: string, jobId: string): string {
+function jobTraceparent(parent: string, jobId: string): string {
   return parent === '' ? rootTraceparent(jobId) : deriveTraceparent(parent, jobId)
 }
--- a/packages/coordinator/src/lib/jobs/JobEnding.ts
+++ b/packages/coordinator/src/lib/jobs/JobEnding.ts
@@ -9,10 +9,10 @@
 import { refusedAnswer, succeededAnswer, unsuccessfulAnswer } from './jobAnswers'
 import { jobSpan } from './jobSpans'
 
-/** Told of each job's end, before the job is forgotten. @internal */
+/** Called at the end of each job, with the phase that the job was in before. @internal */
 export type JobEndListener = (now: number, job: Job, answer: JobAnswer, before: JobPhase) => void
 
-/** Ends jobs: the one place where a job's waiters get its whole answer. @internal */
+/** Ends jobs; the only place that sends a job's complete answer to its waiters. @internal */
 export class JobEnding {
   private readonly listeners: JobEndListener[] = []
 
@@ -40,18 +40,18 @@
     this.end(now, job, unsuccessfulAnswer(job, JobState.CANCELLED, why, this.context.policies))
   }
 
-  /** Only for a job of which no task was placed. */
+  /** Must be called only for a job of which no task was placed. */
   refuse(now: number, job: Job, why: JobProblem): void {
     this.context.counters.refused++
     this.end(now, job, refusedAnswer(job.id, job.tasks.length, why, this.context.policies))
   }
 
-  /** Ends a job with the answer of another one that holds its key. */
+  /** Ends a job with the answer of the job that holds its submission key. */
   endWith(now: number, job: Job, answer: JobAnswer): void {
     this.end(now, job, answer)
   }
 
-  /** Forgets a job whose waiters were answered, or wait for another job now. */
+  /** Removes a job whose waiters were answered or moved to another job. */
   dissolve(job: Job): void {
     job.phase = JobPhase.Ended
     this.context.jobs.remove(job)
--- a/packages/coordinator/src/lib/jobs/Replies.ts
+++ b/packages/coordinator/src/lib/jobs/Replies.ts
@@ -5,14 +5,14 @@
 import type { Waiter } from './Waiter'
 import { isSameWaiter, WaiterKind } from './Waiter'
 
-/** Keeps who waits for what, so that each request gets exactly one reply. @internal */
+/** Tracks the waiters of jobs and requests, so that each request gets one reply. @internal */
 export class Replies {
   constructor(
     private readonly outbox: Outbox,
     private readonly requests: RequestBook,
   ) {}
 
-  /** The request is answered when the job ends. A resent request is attached once. */
+  /** Makes a request wait for the end of a job. A resent request is attached only once. */
   attach(job: Job, waiter: Waiter): void {
     if (job.waiters.some((other) => isSameWaiter(other, waiter))) return
     job.waiters.push(waiter)
@@ -20,7 +20,7 @@
     this.requests.open(waiter.requestId, { sequence: job.sequence })
   }
 
-  /** The request is answered when a reply to the forwarded one comes. */
+  /** Makes a request wait for the reply to a forwarded request. */
   attachForward(waiter: Waiter, forwardId: string): void {
     if (waiter.kind !== WaiterKind.Local) return
     this.requests.open(waiter.requestId, { forwardId })
@@ -31,24 +31,24 @@
     this.outbox.reply(waiter, answer)
   }
 
-  /** Answers those that only want to know that the job was taken, and where it is found. */
+  /** Replies early to waiters with `respondAsync`: the job was accepted and has this id. */
   answerAsync(job: Job, answer: JobAnswer): void {
-    const early = job.waiters.filter((waiter) => waiter.respondAsync)
-    if (early.length === 0) return
-    const rest = job.waiters.filter((waiter) => !waiter.respondAsync)
-    job.waiters.splice(0, job.waiters.length, ...rest)
-    for (const waiter of early) this.give(waiter, answer)
+    const asyncWaiters = job.waiters.filter((waiter) => waiter.respondAsync)
+    if (asyncWaiters.length === 0) return
+    const remaining = job.waiters.filter((waiter) => !waiter.respondAsync)
+    job.waiters.splice(0, job.waiters.length, ...remaining)
+    for (const waiter of asyncWaiters) this.give(waiter, answer)
   }
 
-  /** The caller of a request is gone. */
+  /** Removes the waiter of a caller that disconnected. */
   detach(job: Job, requestId: string): void {
-    const at = job.waiters.findIndex(
+    const position = job.waiters.findIndex(
       (waiter) => waiter.kind === WaiterKind.Local && waiter.requestId === requestId,
     )
-    if (at >= 0) job.waiters.splice(at, 1)
+    if (position >= 0) job.waiters.splice(position, 1)
   }
 
-  /** All that wait for one job wait for another one from now on. */
+  /** Moves all waiters of one job to another job. */
   move(from: Job, to: Job): void {
     for (const waiter of from.waiters.splice(0)) this.attach(to, waiter)
   }
--- a/packages/coordinator/src/lib/jobs/RequestBook.ts
+++ b/packages/coordinator/src/lib/jobs/RequestBook.ts
@@ -1,9 +1,9 @@
-/** What the request of a connected caller waits for. @internal */
+/** The job or forwarded request that a connected caller's request waits for. @internal */
 export type OpenRequest =
   | { readonly sequence: number; readonly forwardId?: undefined }
   | { readonly forwardId: string; readonly sequence?: undefined }
 
-/** Requests of connected callers that have no Reply yet. @internal */
+/** Requests of connected callers that have not been replied to. @internal */
 export class RequestBook {
   private readonly requests = new Map<string, OpenRequest>()
 
--- a/packages/coordinator/src/lib/jobs/Waiter.ts
+++ b/packages/coordinator/src/lib/jobs/Waiter.ts
@@ -1,17 +1,17 @@
-/** Where a request for an answer came from. @internal */
+/** Origin of a request for a job's answer. @internal */
 export enum WaiterKind {
   /** A caller connected to this instance. */
   Local = 'local',
-  /** Another instance that sent its caller's request on. */
+  /** Another instance that forwarded its caller's request. */
   Remote = 'remote',
 }
 
-/** Somebody who waits for a job's end. @internal */
+/** A request that waits for the end of a job. @internal */
 export type Waiter =
   | {
       readonly kind: WaiterKind.Local
       readonly requestId: string
-      /** It is answered as soon as the job runs. */
+      /** Whether the request is answered as soon as the job has started. */
       readonly respondAsync: boolean
     }
   | {
@@ -31,7 +31,7 @@
   return { kind: WaiterKind.Remote, instance, requestId, respondAsync }
 }
 
-/** Tells whether both are the same request: a resent one must not be answered twice. @internal */
+/** Compares the origin and id of two requests, to answer a resent one only once. @internal */
 export function isSameWaiter(one: Waiter, other: Waiter): boolean {
   if (one.requestId !== other.requestId) return false
   if (one.kind === WaiterKind.Local) return other.kind === WaiterKind.Local
--- a/packages/coordinator/src/lib/jobs/jobAnswers.ts
+++ b/packages/coordinator/src/lib/jobs/jobAnswers.ts
@@ -3,7 +3,7 @@
 import { JobAnswerSchema, JobState, Outcome } from '@cherryhitch/protocol'
 import type { Job } from './Job'
 
-/** The settings under which an answer is given. @internal */
+/** Settings in force when an answer is created. @internal */
 export interface SettingsStamp {
   readonly version: number
   readonly current: boolean
@@ -12,9 +12,9 @@
 /** Why a job ends without success. @internal */
 export interface JobProblem {
   readonly reason: Reason
-  /** One sentence for the caller. */
+  /** One sentence shown to the caller. */
   readonly detail: string
-  /** When to come back, in milliseconds; 0 when it would not help. */
+  /** Time after which to retry; 0 if a retry would not help. */
   readonly retryAfterMs: number
 }
 
@@ -23,7 +23,7 @@
   return { reason, detail, retryAfterMs }
 }
 
-/** Answer to a job that was refused before any of its tasks was placed. @internal */
+/** Answer for a job that was refused before any of its tasks was placed. @internal */
 export function refusedAnswer(
   jobId: string,
   tasks: number,
@@ -67,7 +67,7 @@
   })
 }
 
-/** Answer without any output to a job that failed or was cancelled. @internal */
+/** Answer without outputs for a job that failed or was cancelled. @internal */
 export function unsuccessfulAnswer(
   job: Job,
   state: JobState.FAILED | JobState.CANCELLED,
@@ -86,7 +86,7 @@
   })
 }
 
-/** Answer for a job that only a lost coordinator could tell about. @internal */
+/** Answer for a job whose state was known only to a lost coordinator. @internal */
 export function unknownAnswer(jobId: string, why: JobProblem, stamp: SettingsStamp): JobAnswer {
   return create(JobAnswerSchema, {
     jobId,
--- a/packages/coordinator/src/lib/jobs/jobSpans.ts
+++ b/packages/coordinator/src/lib/jobs/jobSpans.ts
@@ -19,7 +19,7 @@
   }
 }
 
-/** Span of one hop: from the sending of tasks to an owner to the last report on them. @internal */
+/** Span of one placement, from sending its tasks to the last report on them. @internal */
 export function placementSpan(job: Job, placement: Placement, now: number): SpanRecord {
   const parent = parseTraceparent(job.traceparent)
   return {
--- a/packages/coordinator/src/lib/jobs/relativeWeight.ts
+++ b/packages/coordinator/src/lib/jobs/relativeWeight.ts
@@ -1,9 +1,9 @@
-/** Weight of a caller that the settings give none. */
+/** Weight of a caller that has none in the settings. */
 const DEFAULT_WEIGHT = 1
 
 /**
- * Weight of a caller over the mean weight of the callers that have work in flight, itself
- * included: 1 when all weigh the same.
+ * Ratio of a caller's weight to the mean weight of the callers with work in flight, itself
+ * included; 1 if all weights are equal.
  *
  * @internal
  */
