--- a/packages/coordinator/src/lib/forwarding/Forwarding.ts
+++ b/packages/coordinator/src/lib/forwarding/Forwarding.ts
@@ -2,34 +2,34 @@
 import type { CoordinatorContext } from '../CoordinatorContext'
 import { DueKind } from '../timers/DueItem'
 
-/** Why a request that was sent on stays without an answer. @internal */
+/** Reason why a forwarded request got no answer. @internal */
 export enum ForwardLoss {
-  /** The boot that was asked is gone, or silent for longer than a lease. */
+  /** The boot that the request was sent to is gone, or unreachable for longer than a lease. */
   TargetGone = 'target_gone',
   TimedOut = 'timed_out',
 }
 
-/** A request to another instance. @internal */
+/** A request to forward to another instance. @internal */
 export interface ForwardRequest {
   readonly target: string
-  /** Makes the message; called again for a resend, with the time left. */
+  /** Builds the message; called for each resend with the current time, to update deadlines. */
   readonly body: (now: number, requestId: string) => EnvelopeBody
   readonly expiresAt: number
-  /** Time until the first resend; it doubles with each one. */
+  /** Delay of the first resend; doubles with each further one. */
   readonly resendMs: number
   readonly onAnswer: (now: number, answer: JobAnswer | undefined) => void
   readonly onLost: (now: number, loss: ForwardLoss) => void
 }
 
-interface Pending {
+interface PendingRequest {
   readonly request: ForwardRequest
   readonly boot: number
   resendMs: number
 }
 
-/** Requests that were sent on to other instances and wait for a JobReply. @internal */
+/** Forwards requests to other instances, resends them, and matches the replies. @internal */
 export class Forwarding {
-  private readonly pending = new Map<string, Pending>()
+  private readonly pending = new Map<string, PendingRequest>()
   private lastId = 0
 
   constructor(private readonly context: CoordinatorContext) {}
@@ -40,70 +40,70 @@
 
   ask(now: number, request: ForwardRequest): string {
     const { instance, boot } = this.context.options
-    // The boot keeps a reply to an earlier process of this instance from being taken for ours.
+    // Includes the boot, so that replies to an earlier process of this instance do not match.
     const id = `${instance}.${boot}.${++this.lastId}`
     const targetBoot = this.context.members.bootOf(request.target)
-    const entry = { request, boot: targetBoot, resendMs: request.resendMs }
-    this.pending.set(id, entry)
-    this.send(now, id, entry)
-    this.scheduleNext(now, id, entry)
+    const pending = { request, boot: targetBoot, resendMs: request.resendMs }
+    this.pending.set(id, pending)
+    this.send(now, id, pending)
+    this.scheduleTimeout(now, id, pending)
     return id
   }
 
-  /** Nobody waits for the answer any more. */
+  /** Drops a request whose answer is no longer needed. */
   forget(id: string): void {
     this.pending.delete(id)
   }
 
   takeReply(now: number, from: string, reply: JobReply): void {
-    const entry = this.pending.get(reply.requestId)
-    if (entry?.request.target !== from) {
+    const pending = this.pending.get(reply.requestId)
+    if (pending?.request.target !== from) {
       this.context.counters.strayReplies++
       return
     }
     this.pending.delete(reply.requestId)
-    entry.request.onAnswer(now, reply.answer)
+    pending.request.onAnswer(now, reply.answer)
   }
 
-  /** An instance restarted: it knows nothing of what its earlier boot was asked. */
+  /** Fails the requests to an earlier boot of an instance, as the new boot has no record of them. */
   targetRestarted(now: number, target: string, boot: number): void {
-    for (const [id, entry] of this.pending) {
-      if (entry.request.target !== target || entry.boot !== boot) continue
-      this.lose(now, id, entry, ForwardLoss.TargetGone)
+    for (const [id, pending] of this.pending) {
+      if (pending.request.target !== target || pending.boot !== boot) continue
+      this.fail(now, id, pending, ForwardLoss.TargetGone)
     }
   }
 
-  /** No answer came for a while: asks again, or gives up. */
+  /** Resends a request that is still unanswered, or fails it at its expiry. */
   checkLate(now: number, id: string): void {
-    const entry = this.pending.get(id)
-    if (entry === undefined) return
-    const { target, expiresAt } = entry.request
+    const pending = this.pending.get(id)
+    if (pending === undefined) return
+    const { target, expiresAt } = pending.request
     const { members, timing } = this.context
     if (now >= expiresAt) {
-      this.lose(now, id, entry, ForwardLoss.TimedOut)
+      this.fail(now, id, pending, ForwardLoss.TimedOut)
       return
     }
-    if (members.isPresent(target, entry.boot)) this.send(now, id, entry)
+    if (members.isPresent(target, pending.boot)) this.send(now, id, pending)
     else if (now >= members.heardAt(target) + timing.leaseMs + timing.leaseMarginMs) {
-      this.lose(now, id, entry, ForwardLoss.TargetGone)
+      this.fail(now, id, pending, ForwardLoss.TargetGone)
       return
     }
-    entry.resendMs = Math.min(entry.resendMs * 2, timing.askEveryMaxMs)
-    this.scheduleNext(now, id, entry)
+    pending.resendMs = Math.min(pending.resendMs * 2, timing.askEveryMaxMs)
+    this.scheduleTimeout(now, id, pending)
   }
 
-  private send(now: number, id: string, { request }: Pending): void {
+  private send(now: number, id: string, { request }: PendingRequest): void {
     this.context.counters.forwards++
     this.context.outbox.send(request.target, request.body(now, id))
   }
 
-  private lose(now: number, id: string, { request }: Pending, loss: ForwardLoss): void {
+  private fail(now: number, id: string, { request }: PendingRequest, loss: ForwardLoss): void {
     this.pending.delete(id)
     request.onLost(now, loss)
   }
 
-  private scheduleNext(now: number, forwardId: string, entry: Pending): void {
-    const at = Math.min(entry.request.expiresAt, now + entry.resendMs)
+  private scheduleTimeout(now: number, forwardId: string, pending: PendingRequest): void {
+    const at = Math.min(pending.request.expiresAt, now + pending.resendMs)
     this.context.due.schedule(at, { kind: DueKind.ForwardLate, forwardId })
   }
 }
--- a/packages/coordinator/src/lib/forwarding/QueryDesk.test.ts
+++ b/packages/coordinator/src/lib/forwarding/QueryDesk.test.ts
@@ -15,7 +15,7 @@
 import { CoordinatorFixture, makeSpec, SELF, succeeded } from '../fixtures/CoordinatorFixture'
 
 /** A job of boot 1 at the instance `a2`. */
-const OTHERS_JOB = 'a2.1.7'
+const REMOTE_JOB = 'a2.1.7'
 
 function fixtureWith(options: Partial<CoordinatorOptions> = {}): CoordinatorFixture {
   const fixture = new CoordinatorFixture(options)
@@ -35,35 +35,35 @@
 }
 
 const done = create(JobAnswerSchema, {
-  jobId: OTHERS_JOB,
+  jobId: REMOTE_JOB,
   state: JobState.SUCCEEDED,
   outputs: ['1'],
 })
 
-describe('a question about a job of this coordinator', () => {
-  it('finds it running, then ended, for its own caller', () => {
+describe('a query about a job of this coordinator', () => {
+  it('returns the running and then the ended state to the caller of the job', () => {
     const fixture = fixtureWith()
     const jobId = asyncJob(fixture)
-    const waiting = fixture.query(jobId, { wait: true })
+    const waitingRequest = fixture.query(jobId, { wait: true })
     assert.equal(fixture.reply(fixture.query(jobId))?.state, JobState.RUNNING)
-    assert.deepEqual(fixture.replies(waiting), [])
+    assert.deepEqual(fixture.replies(waitingRequest), [])
     fixture.report(SELF, jobId, succeeded(0))
-    assert.equal(fixture.reply(waiting)?.state, JobState.SUCCEEDED)
+    assert.equal(fixture.reply(waitingRequest)?.state, JobState.SUCCEEDED)
     assert.deepEqual(fixture.reply(fixture.query(jobId))?.outputs, ['"out 0"'])
   })
 
-  it('tells another caller nothing, and lets it cancel nothing', () => {
+  it('gives no information to another caller, and does not let it cancel the job', () => {
     const fixture = fixtureWith()
     const jobId = asyncJob(fixture)
-    for (const question of [{ caller: 'thief' }, { caller: 'thief', cancel: true }]) {
-      assert.deepEqual(fixture.replies(fixture.query(jobId, question)), [undefined])
+    for (const query of [{ caller: 'thief' }, { caller: 'thief', cancel: true }]) {
+      assert.deepEqual(fixture.replies(fixture.query(jobId, query)), [undefined])
     }
     assert.equal(fixture.machine.jobsInFlight, 1)
     fixture.report(SELF, jobId, succeeded(0))
     assert.deepEqual(fixture.replies(fixture.query(jobId, { caller: 'thief' })), [undefined])
   })
 
-  it('cancels it: the outcome is unknown once a task was placed', () => {
+  it('cancels the job, with an unknown outcome once a task was placed', () => {
     const fixture = fixtureWith()
     const jobId = asyncJob(fixture)
     const answer = fixture.reply(fixture.query(jobId, { cancel: true }))
@@ -73,7 +73,7 @@
     assert.equal(fixture.reply(fixture.query(jobId))?.state, JobState.CANCELLED)
   })
 
-  it('says that an earlier boot of this instance is gone', () => {
+  it('reports a lost coordinator for a job of an earlier boot of this instance', () => {
     const fixture = fixtureWith()
     const answer = fixture.reply(fixture.query(`${SELF}.1.1`))
     assert.equal(answer?.reason, Reason.COORDINATOR_LOST)
@@ -81,15 +81,15 @@
   })
 
   for (const jobId of ['', 'x', `${SELF}.2s.zz`, `${SELF}.zzz.1`, 'z9.1.1']) {
-    it(`knows nothing of ${JSON.stringify(jobId)}`, () => {
+    it(`has no answer for job id ${JSON.stringify(jobId)}`, () => {
       const fixture = fixtureWith()
       assert.deepEqual(fixture.replies(fixture.query(jobId)), [undefined])
     })
   }
 })
 
-describe('kept answers', () => {
-  it('are forgotten after their time', () => {
+describe('stored answers', () => {
+  it('are removed after the retention period', () => {
     const fixture = fixtureWith({ timing: { answerRetentionMs: 1000 } })
     const jobId = asyncJob(fixture)
     fixture.report(SELF, jobId, succeeded(0))
@@ -100,7 +100,7 @@
   })
 
   for (const limits of [{ keptAnswers: 2 }, { keptAnswerChars: 700 }]) {
-    it(`are bounded by ${Object.keys(limits).join()}, the oldest going first`, () => {
+    it(`are bounded by ${Object.keys(limits).join()}; the oldest is removed first`, () => {
       const fixture = fixtureWith({ limits })
       const ids = [0, 1, 2].map(() => asyncJob(fixture))
       for (const jobId of ids) fixture.report(SELF, jobId, succeeded(0))
@@ -110,21 +110,21 @@
   }
 })
 
-describe("a question about another coordinator's job", () => {
-  it('is sent on, and its answer comes back', () => {
+describe("a query about another coordinator's job", () => {
+  it('is forwarded, and the answer is returned to the caller', () => {
     const fixture = fixtureWith()
-    const request = fixture.query(OTHERS_JOB, { cancel: true })
-    const [asked] = fixture.sent('jobQuery')
-    assert.equal(asked?.to, 'a2')
-    assert.equal(asked.value.cancel, true)
-    assert.equal(asked.value.caller, 'desk')
+    const request = fixture.query(REMOTE_JOB, { cancel: true })
+    const [forwarded] = fixture.sent('jobQuery')
+    assert.equal(forwarded?.to, 'a2')
+    assert.equal(forwarded.value.cancel, true)
+    assert.equal(forwarded.value.caller, 'desk')
     jobReply(fixture, 'a2', done)
     assert.deepEqual(fixture.reply(request)?.outputs, ['1'])
   })
 
-  it('takes the answer from the instance that was asked alone, and once', () => {
+  it('accepts one answer, and only from the instance that it was forwarded to', () => {
     const fixture = fixtureWith()
-    const request = fixture.query(OTHERS_JOB)
+    const request = fixture.query(REMOTE_JOB)
     jobReply(fixture, 'a3', done)
     assert.deepEqual(fixture.replies(request), [])
     jobReply(fixture, 'a2', undefined)
@@ -133,9 +133,9 @@
     assert.equal(fixture.machine.counters.strayReplies, 2)
   })
 
-  it('is asked again, and is answered as not known now when nothing comes', () => {
+  it('is resent, and answered with an unspecified state when it times out', () => {
     const fixture = fixtureWith()
-    const request = fixture.query(OTHERS_JOB)
+    const request = fixture.query(REMOTE_JOB)
     fixture.advance(1500)
     assert.equal(fixture.sent('jobQuery').length, 2)
     assert.deepEqual(fixture.replies(request), [])
@@ -147,36 +147,36 @@
   })
 
   const restarted = { instance: 'a2', slots: 0, boot: 2 }
-  it('is answered as lost when that boot is gone, before or while it is asked', () => {
+  it('is answered as lost when that boot is gone before or after it was forwarded', () => {
     const fixture = fixtureWith()
-    const waiting = fixture.query(OTHERS_JOB, { wait: true })
+    const waitingRequest = fixture.query(REMOTE_JOB, { wait: true })
     fixture.advance(10_000)
-    assert.deepEqual(fixture.replies(waiting), [])
+    assert.deepEqual(fixture.replies(waitingRequest), [])
     fixture.members({ instance: SELF }, restarted)
-    for (const request of [waiting, fixture.query(OTHERS_JOB)]) {
+    for (const request of [waitingRequest, fixture.query(REMOTE_JOB)]) {
       assert.equal(fixture.reply(request)?.reason, Reason.COORDINATOR_LOST)
       assert.equal(fixture.reply(request)?.state, JobState.FAILED)
       assert.equal(fixture.reply(request)?.outcome, Outcome.UNKNOWN)
     }
   })
 
-  it('is answered as not known now while that instance is silent', () => {
+  it('is answered with an unspecified state while that instance is unreachable', () => {
     const fixture = fixtureWith()
     fixture.members({ instance: SELF }, { instance: 'a2', alive: false })
-    assert.equal(fixture.reply(fixture.query(OTHERS_JOB))?.state, JobState.UNSPECIFIED)
+    assert.equal(fixture.reply(fixture.query(REMOTE_JOB))?.state, JobState.UNSPECIFIED)
   })
 
-  it('is forgotten when the caller is gone', () => {
+  it('is dropped when the caller disconnects', () => {
     const fixture = fixtureWith()
-    const request = fixture.query(OTHERS_JOB)
+    const request = fixture.query(REMOTE_JOB)
     fixture.callerGone(request)
     jobReply(fixture, 'a2', done)
     assert.deepEqual(fixture.replies(request), [])
   })
 })
 
-describe('a question that another instance sent on', () => {
-  it('is answered once there, also when it was sent twice', () => {
+describe('a query forwarded by another instance', () => {
+  it('gets one reply, even if it was sent twice', () => {
     const fixture = fixtureWith()
     const jobId = asyncJob(fixture)
     const value = create(JobQuerySchema, { requestId: 'f1', jobId, caller: 'desk', wait: true })
--- a/packages/coordinator/src/lib/forwarding/QueryDesk.ts
+++ b/packages/coordinator/src/lib/forwarding/QueryDesk.ts
@@ -26,7 +26,7 @@
   UNREACHABLE_RETRY_MS,
 )
 
-/** A question about a job, from a caller here or through another instance. @internal */
+/** A query about a job, from a local caller or forwarded by another instance. @internal */
 export interface QueryRequest {
   readonly jobId: string
   readonly caller: string
@@ -35,46 +35,46 @@
   readonly waiter: Waiter
 }
 
-/** Answers questions about any job: its id names the instance and the boot to ask. @internal */
+/** Answers job queries; a job's id names the instance and boot that coordinate it. @internal */
 export class QueryDesk {
   constructor(
     private readonly context: CoordinatorContext,
     private readonly ending: JobEnding,
     private readonly claims: ClaimDesk,
     private readonly forwarding: Forwarding,
-    private readonly keeper: AnswerKeeper,
+    private readonly answerRecorder: AnswerKeeper,
   ) {}
 
-  /** A caller of this instance asks. */
+  /** Handles a query from a caller of this instance. */
   ask(now: number, request: QueryRequest): void {
     const id = parseJobId(request.jobId)
     if (id === undefined) this.context.replies.give(request.waiter, undefined)
-    else if (id.coordinator === this.context.options.instance) this.answerOwn(now, request, id)
-    else this.askOther(now, request, id)
+    else if (id.coordinator === this.context.options.instance) this.answerLocalJob(now, request, id)
+    else this.forwardQuery(now, request, id)
   }
 
-  /** Another instance asks for its caller, because the id names this one. */
+  /** Handles a query that another instance forwarded; answers only for jobs of this instance. */
   answer(now: number, request: QueryRequest): void {
     const id = parseJobId(request.jobId)
-    if (id?.coordinator === this.context.options.instance) this.answerOwn(now, request, id)
+    if (id?.coordinator === this.context.options.instance) this.answerLocalJob(now, request, id)
     else this.context.replies.give(request.waiter, undefined)
   }
 
-  private answerOwn(now: number, request: QueryRequest, id: JobIdParts): void {
+  private answerLocalJob(now: number, request: QueryRequest, id: JobIdParts): void {
     const { options, jobs, replies, policies } = this.context
     const { waiter, caller } = request
     if (id.boot !== options.boot) {
-      const isEarlier = id.boot < options.boot
+      const isEarlierBoot = id.boot < options.boot
       const lost = unknownAnswer(request.jobId, coordinatorLost, policies)
-      replies.give(waiter, isEarlier ? lost : undefined)
+      replies.give(waiter, isEarlierBoot ? lost : undefined)
       return
     }
     const job = jobs.get(id.sequence)
     if (job === undefined) {
-      replies.give(waiter, this.keptAnswer(now, request))
+      replies.give(waiter, this.findStoredAnswer(now, request))
       return
     }
-    // Another caller's job is answered as if it were unknown, so that ids tell nothing.
+    // Jobs of other callers are answered as unknown, so that guessing ids reveals nothing.
     if (job.caller !== caller) replies.give(waiter, undefined)
     else if (request.cancel) {
       replies.attach(job, waiter)
@@ -83,16 +83,16 @@
     else replies.give(waiter, runningAnswer(job, policies))
   }
 
-  private keptAnswer(now: number, { jobId, caller }: QueryRequest): JobAnswer | undefined {
-    const kept = this.context.answers.get(now, jobId)
-    if (kept?.caller === caller) {
-      this.keeper.noteRead(jobId)
-      return kept.answer
+  private findStoredAnswer(now: number, { jobId, caller }: QueryRequest): JobAnswer | undefined {
+    const stored = this.context.answers.get(now, jobId)
+    if (stored?.caller === caller) {
+      this.answerRecorder.noteRead(jobId)
+      return stored.answer
     }
     return this.claims.abandonedAnswer(jobId, caller)
   }
 
-  private askOther(now: number, request: QueryRequest, id: JobIdParts): void {
+  private forwardQuery(now: number, request: QueryRequest, id: JobIdParts): void {
     const { members, policies, replies, timing } = this.context
     const { waiter, jobId, caller, cancel, wait } = request
     const target = id.coordinator
@@ -128,7 +128,7 @@
     replies.attachForward(waiter, forwardId)
   }
 
-  /** The job's state is not known, which is no claim that it failed. */
+  /** Answer with an unspecified state: the job may still be running, or may have ended. */
   private unreachableAnswer(jobId: string): JobAnswer {
     const { version, current } = this.context.policies
     return create(JobAnswerSchema, {
