--- a/packages/coordinator/src/lib/bench/measureMachine.ts
+++ b/packages/coordinator/src/lib/bench/measureMachine.ts
@@ -1,6 +1,6 @@
 /**
- * Measures a coordinator's machine alone: processor time per job and per task, and memory per job
- * in flight. Run it with `node --expose-gc --import tsx`.
+ * Benchmarks the coordinator state machine: CPU time per job and per task, and memory per job in
+ * flight. Run it with `node --expose-gc --import tsx`.
  */
 import { create } from '@bufbuild/protobuf'
 import type { InstanceView } from '@cherryhitch/model'
@@ -22,12 +22,12 @@
 
 const SERVICES = 4
 const OWNERS = 7
-/** So many that admission refuses nothing. */
+/** High enough that admission refuses no job. */
 const SLOTS_PER_OWNER = 100_000
 const US_PER_MS = 1000
 const WARM_UP_SHARE = 0.3
 const TICK_EVERY_JOBS = 20
-/** So many jobs are in flight while the others pass through. */
+/** Number of jobs kept in flight during the measurement of speed. */
 const IN_FLIGHT = 200
 const MEMORY_JOBS = 2000
 
@@ -89,7 +89,7 @@
   })
 }
 
-/** The reports of all owners on what a step placed. */
+/** Success reports of all owners on the tasks that a step placed. */
 function reportsOn(actions: readonly CoordinatorAction[]): { from: string; value: ReportsOf }[] {
   return actions.flatMap((action) => {
     if (action.kind !== CoordinatorActionKind.Send) return []
@@ -105,7 +105,7 @@
 
 type ReportsOf = ReturnType<typeof create<typeof TaskReportsSchema>>
 
-/** Jobs pass through with others in flight; only the machine's own calls are timed. */
+/** Time per job in µs, with other jobs in flight; only calls of the machine are timed. */
 function measureSpeed(jobs: number, tasks: number): number {
   let now = 1_000_000
   const machine = makeMachine(now)
--- a/packages/coordinator/src/lib/bench/soakMachine.ts
+++ b/packages/coordinator/src/lib/bench/soakMachine.ts
@@ -1,6 +1,6 @@
 /**
- * Long randomised runs of a coordinator among fake owners, with its promises asserted. Takes the
- * first seed and the number of seeds; prints what the runs went through.
+ * Soak test: long randomised runs of a coordinator with fake owners that assert its invariants.
+ * Arguments: first seed, number of seeds. Prints the sums of the coordinator's counters.
  */
 import fc from 'fast-check'
 import { FakeWorld } from '../fixtures/FakeWorld'
@@ -14,10 +14,10 @@
 const totals: Record<string, number> = {}
 for (let seed = first; seed < first + seeds; seed++) {
   const property = fc.property(randomMoves, (moves) => {
-    const world = new FakeWorld()
-    for (const move of moves) world.move(move)
-    world.finish()
-    for (const [name, count] of Object.entries(world.fixture.machine.counters)) {
+    const simulation = new FakeWorld()
+    for (const move of moves) simulation.move(move)
+    simulation.finish()
+    for (const [name, count] of Object.entries(simulation.fixture.machine.counters)) {
       totals[name] = (totals[name] ?? 0) + count
     }
   })
--- a/packages/coordinator/src/lib/placement/LossWatch.ts
+++ b/packages/coordinator/src/lib/placement/LossWatch.ts
@@ -146,8 +146,8 @@
 
   private retryNotRun(now: number, job: Job, tasks: readonly TaskRecord[], from: string): void {
     if (tasks.length === 0) return
-    for (const task of tasks) this.flight.withdraw(now, task, from)
-    this.retries.consider(now, job, tasks, neverSeen)
+    for (const task of tasks) this.flight.markNotRun(now, task, from)
+    this.retries.retryOrFail(now, job, tasks, neverSeen)
   }
 
   /**
--- a/packages/coordinator/src/lib/placement/ReportDesk.ts
+++ b/packages/coordinator/src/lib/placement/ReportDesk.ts
@@ -52,7 +52,7 @@
       const task = this.findTask(job, from, report)
       if (task === undefined) continue
       if (report.outcome === Outcome.NOT_RUN) {
-        this.flight.withdraw(now, task, from)
+        this.flight.markNotRun(now, task, from)
         notRun.push({ task, report })
       } else if (report.outcome === Outcome.SUCCEEDED) this.succeed(now, task, report)
       else {
@@ -72,7 +72,7 @@
       const [first] = group
       if (first === undefined || job.phase === JobPhase.Ended) return
       const tasks = group.map(({ task }) => task)
-      this.retries.consider(now, job, tasks, reportedProblem(first.report))
+      this.retries.retryOrFail(now, job, tasks, reportedProblem(first.report))
     }
   }
 
--- a/packages/coordinator/src/lib/placement/Retries.ts
+++ b/packages/coordinator/src/lib/placement/Retries.ts
@@ -51,7 +51,7 @@
    *
    * Tasks with the same attempt number get the same delay, so that they are sent in one message.
    */
-  consider(now: number, job: Job, tasks: readonly TaskRecord[], why: JobProblem): void {
+  retryOrFail(now: number, job: Job, tasks: readonly TaskRecord[], why: JobProblem): void {
     if (isDecidedAtDeadline(job, why)) return
     if (!retryableReasons.has(why.reason)) {
       this.ending.fail(now, job, why)
--- a/packages/coordinator/src/lib/placement/TaskFlight.ts
+++ b/packages/coordinator/src/lib/placement/TaskFlight.ts
@@ -34,7 +34,7 @@
   }
 
   /** Marks a task as not run, as reported by `from`. */
-  withdraw(now: number, task: TaskRecord, from: string): void {
+  markNotRun(now: number, task: TaskRecord, from: string): void {
     const previous = this.detachFromOwner(task)
     task.job.markNotRun(task, from)
     this.emitSpanIfSettled(now, task.job, previous)
