--- a/packages/coordinator/src/lib/forwarding/Forwarding.ts
+++ b/packages/coordinator/src/lib/forwarding/Forwarding.ts
@@ -65,7 +65,7 @@
     pending.request.onAnswer(now, reply.answer)
   }
 
-  /** Fails the requests to an earlier boot of an instance, as the new boot has no record of them. */
+  /** Fails the requests sent to an earlier boot; the new boot has no record of them. */
   targetRestarted(now: number, target: string, boot: number): void {
     for (const [id, pending] of this.pending) {
       if (pending.request.target !== target || pending.boot !== boot) continue
--- a/packages/coordinator/src/lib/placement/ReportDesk.ts
+++ b/packages/coordinator/src/lib/placement/ReportDesk.ts
@@ -29,7 +29,7 @@
     for (const reports of message.jobs) this.handleJobReports(now, from, reports)
   }
 
-  /** @returns undefined, after counting the reports, when the job does not run at this coordinator */
+  /** @returns undefined, after counting the reports, if the job is not in flight here */
   findJob(jobId: string, reports: number): Job | undefined {
     const { options, counters, jobs } = this.context
     const id = parseJobId(jobId)
--- a/packages/coordinator/src/lib/placement/Retries.ts
+++ b/packages/coordinator/src/lib/placement/Retries.ts
@@ -38,7 +38,7 @@
   'No other owner of the service takes a task that did not run.',
 )
 
-/** Places tasks that are known not to have run again, within the retry budget. @internal */
+/** Retries tasks that are known not to have run, within the retry budget. @internal */
 export class Retries {
   constructor(
     private readonly context: CoordinatorContext,
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Places tasks whose retry delay has passed; rechecks until `giveUpAt` if no owner takes them. */
+  /** Places tasks after their retry delay; with no owner, checks again until `giveUpAt`. */
   placeAgain(now: number, job: Job, indexes: readonly number[], giveUpAt: number): void {
     if (job.phase !== JobPhase.Running) return
     const waiting = indexes.flatMap((index) => job.tasks[index] ?? []).filter(isWaiting)
