--- a/packages/owner/src/lib/outcomes/NotRunTasks.ts
+++ b/packages/owner/src/lib/outcomes/NotRunTasks.ts
@@ -7,12 +7,17 @@
 import { TaskPhase } from '../tasks/TaskRecord'
 import type { TaskEnds } from './TaskEnds'
 
-/** An endpoint that refused a task gets the same one again only after this. */
-const AVOID_MS = 1000
-const DRAW_DIGITS = 8
-const DRAW_RANGE = 16 ** DRAW_DIGITS
+/** After a refusal, other endpoints are preferred for the task for this long. */
+const REFUSAL_AVOIDANCE_MS = 1000
+const JITTER_HEX_DIGITS = 8
+const JITTER_RANGE = 16 ** JITTER_HEX_DIGITS
 
-/** Dispatched tasks that truly did not run: tried again from the budget, or reported so. @internal */
+/**
+ * Handles dispatched tasks that provably did not run: retries them within the retry budget, or
+ * reports them as not run.
+ *
+ * @internal
+ */
 export class NotRunTasks {
   private readonly delayed = new DelayedTasks()
 
@@ -22,21 +27,21 @@
     private readonly dispatcher: Dispatcher,
   ) {}
 
-  /** Its endpoint refused it, or was never reached. */
-  refused(now: number, task: TaskRecord, detail: string): void {
+  /** The endpoint refused the task, or no connection to it was made. */
+  handleRefusal(now: number, task: TaskRecord, detail: string): void {
     task.refusedBy = task.endpoint?.endpoint
-    task.refusedUntil = now + AVOID_MS
-    this.again(now, task, detail)
+    task.refusedUntil = now + REFUSAL_AVOIDANCE_MS
+    this.retryOrSettle(now, task, detail)
   }
 
-  /** Its endpoint never saw it, and has fenced its id. */
+  /** The endpoint never received the task, and has fenced its id. */
   fenced(now: number, task: TaskRecord): void {
     const endpoint = task.endpoint?.endpoint
     if (endpoint !== undefined) task.fencedAt = [...task.fencedAt, endpoint]
-    this.again(now, task, 'The request never reached the endpoint.')
+    this.retryOrSettle(now, task, 'The request never reached the endpoint.')
   }
 
-  /** Tasks whose delay is over go back to their queues. */
+  /** Returns tasks to their queues when their retry delay has passed. */
   tick(now: number): void {
     for (;;) {
       const task = this.delayed.popDue(now)
@@ -47,7 +52,7 @@
     }
   }
 
-  private again(now: number, task: TaskRecord, detail: string): void {
+  private retryOrSettle(now: number, task: TaskRecord, detail: string): void {
     if (task.muted) {
       this.ends.settle(now, task, { outcome: Outcome.NOT_RUN })
       return
@@ -58,16 +63,16 @@
     else this.ends.settle(now, task, { outcome: Outcome.NOT_RUN, ...delay, detail })
   }
 
-  /** @returns the delay, or why there is no other try */
-  private delayBeforeRetry(now: number, task: TaskRecord): number | RefusedRetry {
+  /** @returns the delay in milliseconds, or the reason why the task is not retried */
+  private delayBeforeRetry(now: number, task: TaskRecord): number | RetryDenial {
     if (task.deadlineAt <= now) return { reason: Reason.DEADLINE_PASSED }
     const retryAfterMs = this.ctx.timing.heartbeatMs
-    if (!this.hasPlaceLeft(task)) return { reason: Reason.ENDPOINT_REFUSED, retryAfterMs }
-    const delay = this.ctx.retries.takeRetry(now, task.retries, draw(task))
+    if (!this.hasEligibleEndpoint(task)) return { reason: Reason.ENDPOINT_REFUSED, retryAfterMs }
+    const delay = this.ctx.retries.takeRetry(now, task.retries, retryJitter(task))
     return delay ?? { reason: Reason.RETRY_BUDGET, retryAfterMs }
   }
 
-  private hasPlaceLeft(task: TaskRecord): boolean {
+  private hasEligibleEndpoint(task: TaskRecord): boolean {
     if (task.fencedAt.length === 0) return true
     for (const record of this.ctx.lane(task.service).endpoints) {
       const fenced = task.fencedAt.includes(record.endpoint)
@@ -90,13 +95,13 @@
   }
 }
 
-interface RefusedRetry {
+interface RetryDenial {
   readonly reason: Reason
   readonly retryAfterMs?: number
 }
 
-/** A number from 0 to 1 for the jitter, drawn from the task's id so that the machine stays pure. */
-function draw(task: TaskRecord): number {
-  const digits = hash64(`${task.taskId}/${task.retries}`).slice(0, DRAW_DIGITS)
-  return parseInt(digits, 16) / DRAW_RANGE
+/** Jitter from 0 to 1, derived from the task's id so that the state machine stays deterministic. */
+function retryJitter(task: TaskRecord): number {
+  const digits = hash64(`${task.taskId}/${task.retries}`).slice(0, JITTER_HEX_DIGITS)
+  return parseInt(digits, 16) / JITTER_RANGE
 }
--- a/packages/owner/src/lib/outcomes/RunAnswers.test.ts
+++ b/packages/owner/src/lib/outcomes/RunAnswers.test.ts
@@ -7,17 +7,17 @@
 
 const TASK = `${JOB}.0`
 
-/** One endpoint that runs one task. */
-function running(): OwnerFixture {
+/** An owner with one endpoint that runs one task. */
+function ownerWithRunningTask(): OwnerFixture {
   const owner = new OwnerFixture()
   owner.heartbeat()
   owner.place()
   return owner
 }
 
-/** A task whose request broke, with the question about it on its way. */
-function lost(): OwnerFixture {
-  const owner = running()
+/** An owner whose run request broke, with the lease renewal that queries the task pending. */
+function ownerWithBrokenRequest(): OwnerFixture {
+  const owner = ownerWithRunningTask()
   owner.end(owner.runOf(), RunResultKind.Lost)
   owner.endProbe(true)
   owner.pass(50)
@@ -32,7 +32,7 @@
   ]
   for (const { kind, outcome, reason } of plain) {
     it(`ends the task when it is ${kind}`, () => {
-      const owner = running()
+      const owner = ownerWithRunningTask()
       owner.end(owner.runOf(), kind)
       const [report, ...more] = owner.reportsOn()
       assert.deepEqual([report?.outcome, report?.reason, more.length], [outcome, reason, 0])
@@ -41,7 +41,7 @@
     })
   }
 
-  it('hands on output, run time and the time in the queue', () => {
+  it('passes on the output, the run time and the queueing time', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1])
@@ -52,8 +52,8 @@
     assert.deepEqual([report?.output, report?.runMs, report?.queuedMs], ['[7]', 100, 300])
   })
 
-  it('tries a refused task elsewhere', () => {
-    const owner = running()
+  it('retries a refused task at another endpoint', () => {
+    const owner = ownerWithRunningTask()
     owner.heartbeat({ endpoint: 'e2' })
     const refused = owner.runOf()
     owner.end(refused, RunResultKind.NotRun)
@@ -63,8 +63,8 @@
     assert.equal(owner.runOf().join, false)
   })
 
-  it('reports a task as not run once the budget is used up', () => {
-    const owner = running()
+  it('reports a task as not run once the retry budget is exhausted', () => {
+    const owner = ownerWithRunningTask()
     for (let tries = 0; tries < 20 && owner.reportsOn().length === 0; tries++) {
       if (owner.openRuns.length > 0) owner.end(owner.runOf(), RunResultKind.NotRun)
       owner.passWithHeartbeats(500, {})
@@ -77,7 +77,7 @@
 
 describe('a request that broke', () => {
   it('is joined on a new connection when the endpoint says that the task runs', () => {
-    const owner = lost()
+    const owner = ownerWithBrokenRequest()
     assert.equal(owner.openRuns.length, 0)
     owner.endRenewal([TASK])
     assert.equal(owner.runOf().join, true)
@@ -88,12 +88,16 @@
   })
 
   const afterFence = [
-    { name: 'fetches the answer of a task that ended', state: StopState.Ended, joins: true },
-    { name: 'is unknown when the fence stopped it', state: StopState.Stopped, joins: false },
+    { name: 'fetches the answer of a task that had ended', state: StopState.Ended, joins: true },
+    {
+      name: 'settles the task as unknown when the fence stopped it',
+      state: StopState.Stopped,
+      joins: false,
+    },
   ]
   for (const { name, state, joins } of afterFence) {
     it(name, () => {
-      const owner = lost()
+      const owner = ownerWithBrokenRequest()
       owner.endRenewal([])
       owner.endStops(state, 1)
       assert.equal(owner.openRuns.length, joins ? 1 : 0)
@@ -106,8 +110,8 @@
     })
   }
 
-  it('is tried at another endpoint once it is fenced as never seen', () => {
-    const owner = lost()
+  it('is retried at another endpoint once its id is fenced as never seen', () => {
+    const owner = ownerWithBrokenRequest()
     owner.heartbeat({ endpoint: 'e2' })
     owner.endRenewal([])
     assert.deepEqual(owner.last(OwnerActionKind.StopTasks).taskIds, [TASK])
@@ -121,7 +125,7 @@
   })
 
   it('is reported as not run when the only endpoint has fenced it', () => {
-    const owner = lost()
+    const owner = ownerWithBrokenRequest()
     owner.endRenewal([])
     owner.endStops(StopState.NeverSeen, 1)
     assert.equal(owner.reportsOn()[0]?.outcome, Outcome.NOT_RUN)
@@ -129,11 +133,11 @@
 
   const boots = [
     { name: 'a heartbeat of the same process confirms', boot: 1, outcome: Outcome.NOT_RUN },
-    { name: 'a restarted process means nothing', boot: 2, outcome: Outcome.UNKNOWN },
+    { name: 'a restarted process does not', boot: 2, outcome: Outcome.UNKNOWN },
   ]
   for (const { name, boot, outcome } of boots) {
-    it(`believes "never seen" only of the process it was sent to: ${name}`, () => {
-      const owner = lost()
+    it(`accepts "never seen" only from the process it was sent to: ${name}`, () => {
+      const owner = ownerWithBrokenRequest()
       owner.endRenewal([])
       owner.endStops(StopState.NeverSeen)
       owner.heartbeat()
@@ -147,22 +151,22 @@
     })
   }
 
-  it('is unknown when the process that says "never seen" is another one', () => {
-    const owner = lost()
+  it('settles the task as unknown when another process answers "never seen"', () => {
+    const owner = ownerWithBrokenRequest()
     owner.endRenewal([])
     owner.endStops(StopState.NeverSeen, 2)
     assert.equal(owner.reportsOn()[0]?.outcome, Outcome.UNKNOWN)
   })
 
-  it('is unknown when a join is refused: it was known there before', () => {
-    const owner = lost()
+  it('settles the task as unknown when a join is refused', () => {
+    const owner = ownerWithBrokenRequest()
     owner.endRenewal([TASK])
     owner.end(owner.runOf(), RunResultKind.NotRun)
     assert.equal(owner.reportsOn()[0]?.outcome, Outcome.UNKNOWN)
   })
 
-  it('is given up when the lease has run out, not sooner and not much later', () => {
-    const owner = running()
+  it('is abandoned when the lease has expired, not sooner and not much later', () => {
+    const owner = ownerWithRunningTask()
     owner.end(owner.runOf(), RunResultKind.Lost)
     owner.endProbe(false)
     owner.pass(2950)
@@ -174,7 +178,7 @@
   })
 
   it('counts the lease from a renewal that may have arrived', () => {
-    const owner = lost()
+    const owner = ownerWithBrokenRequest()
     owner.endRenewal(undefined)
     owner.endProbe(false)
     const askedAt = owner.now
@@ -186,9 +190,9 @@
   })
 })
 
-describe('answers that nothing is awaited of', () => {
-  it('drops the answer of an earlier request after the task went elsewhere', () => {
-    const owner = lost()
+describe('unexpected answers', () => {
+  it('are dropped after the task was retried at another endpoint', () => {
+    const owner = ownerWithBrokenRequest()
     owner.heartbeat({ endpoint: 'e2' })
     const late = { ...owner.all(OwnerActionKind.RunTask)[0] }
     owner.endRenewal([])
@@ -200,8 +204,8 @@
     assert.equal(owner.machine.counters.lateAnswers, 1)
   })
 
-  it('drops doubled, foreign and unasked answers', () => {
-    const owner = running()
+  it('are dropped if they are duplicate, foreign or not requested', () => {
+    const owner = ownerWithRunningTask()
     const run = owner.runOf()
     owner.end({ ...run, endpoint: 'e9' }, RunResultKind.Succeeded)
     owner.end({ ...run, taskId: `${JOB}.7` }, RunResultKind.Succeeded)
@@ -216,8 +220,8 @@
     assert.equal(owner.all(OwnerActionKind.RunTask).length, 1)
   })
 
-  it('waits for the second request when the first one breaks late', () => {
-    const owner = running()
+  it('do not end the task if the first request breaks while a second one is open', () => {
+    const owner = ownerWithRunningTask()
     const silent = owner.runOf()
     owner.passWithHeartbeats(1600, {})
     owner.endRenewal([])
--- a/packages/owner/src/lib/outcomes/RunAnswers.ts
+++ b/packages/owner/src/lib/outcomes/RunAnswers.ts
@@ -12,15 +12,15 @@
 import type { NotRunTasks } from './NotRunTasks'
 import type { TaskEnds } from './TaskEnds'
 
-/** One request's end, as the shell tells it. @internal */
-export interface RunEnd {
+/** The end of one run request, as the event reports it. @internal */
+export interface RunCompletion {
   readonly endpoint: string
   readonly taskId: string
   readonly run: number
   readonly result: RunResult
 }
 
-/** What the end of a request says of its task and its endpoint. @internal */
+/** Applies the result of a run request to its task and its endpoint. @internal */
 export class RunAnswers {
   constructor(
     private readonly ctx: OwnerContext,
@@ -29,7 +29,7 @@
     private readonly probes: EndpointProbes,
   ) {}
 
-  ended(now: number, end: RunEnd): void {
+  ended(now: number, end: RunCompletion): void {
     const record = this.ctx.endpoints.get(end.endpoint)
     if (record?.openRuns.delete(end.run) === true) this.ctx.refresh(record)
     const task = this.ctx.book.get(end.taskId)
@@ -37,74 +37,96 @@
       this.ctx.counters.lateAnswers++
       return
     }
-    this.apply(now, record, task, end.result)
+    this.applyResult(now, record, task, end.result)
   }
 
-  private apply(now: number, record: EndpointRecord, task: TaskRecord, result: RunResult): void {
+  private applyResult(
+    now: number,
+    record: EndpointRecord,
+    task: TaskRecord,
+    result: RunResult,
+  ): void {
     switch (result.kind) {
       case RunResultKind.Succeeded:
-        this.succeeded(now, record, task, result)
+        this.handleSuccess(now, record, task, result)
         return
       case RunResultKind.Failed:
-        this.failed(now, record, task, result)
+        this.handleFailure(now, record, task, result)
         return
       case RunResultKind.NotRun:
-        this.refused(now, record, task, result)
+        this.handleRefusal(now, record, task, result)
         return
       case RunResultKind.Unknown:
         if (!task.muted)
-          this.ctx.health.recordFailure(now, observe(record, task), HealthFailure.Lost)
-        this.forgotten(now, task, result.detail)
+          this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.Lost)
+        this.settleUnknown(now, task, result.detail)
         return
       case RunResultKind.Lost:
-        this.lost(now, record, task)
+        this.handleLost(now, record, task)
         return
       default:
         exhaustive(result.kind)
     }
   }
 
-  private succeeded(now: number, at: EndpointRecord, task: TaskRecord, result: RunResult): void {
-    at.refusals = 0
-    this.ctx.health.recordSuccess(now, observe(at, task), result.runMs)
+  private handleSuccess(
+    now: number,
+    record: EndpointRecord,
+    task: TaskRecord,
+    result: RunResult,
+  ): void {
+    record.refusals = 0
+    this.ctx.health.recordSuccess(now, toObservation(record, task), result.runMs)
     const lane = this.ctx.lanes.get(task.service)
-    lane?.recordRun(now, at.endpoint, result.runMs, task.estimateMs)
+    lane?.recordRun(now, record.endpoint, result.runMs, task.estimateMs)
     const { output, runMs } = result
     this.ends.settle(now, task, { outcome: Outcome.SUCCEEDED, output, runMs })
   }
 
-  private failed(now: number, at: EndpointRecord, task: TaskRecord, result: RunResult): void {
-    at.refusals = 0
-    // A task that was told to stop fails through no fault of its endpoint.
+  private handleFailure(
+    now: number,
+    record: EndpointRecord,
+    task: TaskRecord,
+    result: RunResult,
+  ): void {
+    record.refusals = 0
+    // The failure of a task that was asked to stop does not count against its endpoint.
     const stopped = task.phase === TaskPhase.Stopping
-    if (!stopped) this.ctx.health.recordFailure(now, observe(at, task), HealthFailure.TaskFailed)
+    if (!stopped)
+      this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.TaskFailed)
     const { detail, runMs } = result
     const reason = stopped ? Reason.DEADLINE_PASSED : Reason.TASK_FAILED
     this.ends.settle(now, task, { outcome: Outcome.FAILED, reason, detail, runMs })
   }
 
-  private refused(now: number, at: EndpointRecord, task: TaskRecord, result: RunResult): void {
+  private handleRefusal(
+    now: number,
+    record: EndpointRecord,
+    task: TaskRecord,
+    result: RunResult,
+  ): void {
     if (task.requests.length > 0) return
-    this.ctx.health.recordFailure(now, observe(at, task), HealthFailure.Refused)
-    this.probes.refused(now, at)
-    if (!result.answered) this.probes.suspect(now, at)
-    // It was known there before, so a refusal now only says that it is gone.
-    if (task.started) this.forgotten(now, task, result.detail)
-    else if (task.phase === TaskPhase.Running) this.notRun.refused(now, task, result.detail)
-    // A fence is on its way there, so the id can't be used there again.
+    this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.Refused)
+    this.probes.refused(now, record)
+    if (!result.answered) this.probes.suspect(now, record)
+    // The endpoint knew the task before, so a refusal does not prove that the task did not run.
+    if (task.started) this.settleUnknown(now, task, result.detail)
+    else if (task.phase === TaskPhase.Running) this.notRun.handleRefusal(now, task, result.detail)
+    // A fence request may already have reached this endpoint, so the id can't be used there again.
     else this.notRun.fenced(now, task)
   }
 
-  private forgotten(now: number, task: TaskRecord, detail: string): void {
+  private settleUnknown(now: number, task: TaskRecord, detail: string): void {
     const reason = Reason.ENDPOINT_LOST
     this.ends.settle(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
   }
 
-  /** No word came back. The endpoint is asked before anything is concluded. */
-  private lost(now: number, at: EndpointRecord, task: TaskRecord): void {
+  /** The request broke without an answer: the endpoint is queried before the task is settled. */
+  private handleLost(now: number, record: EndpointRecord, task: TaskRecord): void {
     if (task.requests.length > 0) return
-    if (!task.muted) this.ctx.health.recordFailure(now, observe(at, task), HealthFailure.Lost)
-    this.probes.suspect(now, at)
+    if (!task.muted)
+      this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.Lost)
+    this.probes.suspect(now, record)
     if (task.lastChance !== undefined) {
       this.ends.settle(now, task, task.lastChance.end)
       return
@@ -112,10 +134,10 @@
     if (task.phase !== TaskPhase.Running) return
     task.phase = TaskPhase.Checking
     task.recheckAt = now
-    at.due(now)
+    record.due(now)
   }
 }
 
-function observe(record: EndpointRecord, task: TaskRecord): HealthObservation {
+function toObservation(record: EndpointRecord, task: TaskRecord): HealthObservation {
   return { endpoint: record.endpoint, service: record.service, jobId: task.jobId }
 }
--- a/packages/owner/src/lib/outcomes/TaskEnd.ts
+++ b/packages/owner/src/lib/outcomes/TaskEnd.ts
@@ -1,6 +1,6 @@
 import type { Outcome, Reason } from '@cherryhitch/protocol'
 
-/** How a task ended here. @internal */
+/** How a task ended at this owner. @internal */
 export interface TaskEnd {
   readonly outcome: Outcome
   readonly reason?: Reason
@@ -8,6 +8,6 @@
   readonly detail?: string
   readonly runMs?: number
   readonly retryAfterMs?: number
-  /** False when its endpoint never said that it is over, so that it may still hold a slot. */
+  /** False if the endpoint did not confirm the end, so the task may still occupy a slot there. */
   readonly released?: boolean
 }
--- a/packages/owner/src/lib/outcomes/TaskEnds.ts
+++ b/packages/owner/src/lib/outcomes/TaskEnds.ts
@@ -8,30 +8,30 @@
 import type { TaskRecord } from '../tasks/TaskRecord'
 import type { TaskEnd } from './TaskEnd'
 
-/** Ends tasks: the report, the memory of it, the slot, the counters. @internal */
+/** Settles tasks: sends the report, records the end, frees the slot, updates counters. @internal */
 export class TaskEnds {
   constructor(private readonly ctx: OwnerContext) {}
 
-  /** The task is over: reports it unless that was done, and frees what it holds. */
+  /** Ends a task: reports it, unless its report is closed, and frees what it holds. */
   settle(now: number, task: TaskRecord, end: TaskEnd): void {
     if (!task.muted) this.report(now, task, end)
-    this.forget(now, task, end)
+    this.removeTask(now, task, end)
   }
 
-  /** Reports a task that still holds its slot; it is stopped or runs out silently after this. */
+  /** Reports a task that still occupies its slot, until it is stopped or its lease expires. */
   report(now: number, task: TaskRecord, end: TaskEnd): void {
     const report = makeReport(now, task, end)
-    this.mute(now, task, end, report)
+    this.closeReport(now, task, end, report)
     this.ctx.outbox.report(task.job.coordinator, task.jobId, report)
-    this.count(end.outcome)
+    this.countOutcome(end.outcome)
   }
 
-  /** No report is wanted; asked for later, this is what became of it. */
+  /** Ends a task without sending a report; the report is kept in case it is requested later. */
   muteAs(now: number, task: TaskRecord, end: TaskEnd): void {
-    this.mute(now, task, end, makeReport(now, task, end))
+    this.closeReport(now, task, end, makeReport(now, task, end))
   }
 
-  /** Frees slot, resources and open requests of a task; it stays in the book. */
+  /** Frees the slot, resources and open requests of a task, which stays registered. */
   release(now: number, task: TaskRecord, ok: boolean): void {
     const record = task.endpoint
     if (record === undefined) return
@@ -41,12 +41,12 @@
     for (const run of task.requests) this.dropRun(task, run)
     task.requests = []
     task.endpoint = undefined
-    uncountAtJob(task, record.endpoint)
-    if (!record.owned) this.noteReleased(record.endpoint, task.taskId)
+    removeFromJobSpread(task, record.endpoint)
+    if (!record.owned) this.recordReleasedSlot(record.endpoint, task.taskId)
     this.ctx.refresh(record)
   }
 
-  private forget(now: number, task: TaskRecord, end: TaskEnd): void {
+  private removeTask(now: number, task: TaskRecord, end: TaskEnd): void {
     const record = task.endpoint
     this.release(now, task, end.outcome === Outcome.SUCCEEDED)
     this.ctx.book.remove(task)
@@ -55,9 +55,9 @@
     if (entry !== undefined) entry.released = end.released ?? true
   }
 
-  private mute(now: number, task: TaskRecord, end: TaskEnd, report: TaskReport): void {
+  private closeReport(now: number, task: TaskRecord, end: TaskEnd, report: TaskReport): void {
     task.muted = true
-    this.noteProgress(task, end)
+    this.updateJobProgress(task, end)
     this.ctx.memory.remember({
       taskId: task.taskId,
       at: now,
@@ -70,8 +70,8 @@
     })
   }
 
-  /** The queue prefers jobs that are nearly done. */
-  private noteProgress(task: TaskRecord, end: TaskEnd): void {
+  /** Updates the job's remaining tasks, as the queue prefers jobs that are nearly complete. */
+  private updateJobProgress(task: TaskRecord, end: TaskEnd): void {
     const job = task.job
     if (end.outcome !== Outcome.SUCCEEDED || job.remaining <= 1) return
     job.remaining--
@@ -84,13 +84,13 @@
     this.ctx.outbox.push({ kind: OwnerActionKind.DropRun, endpoint, taskId: task.taskId, run })
   }
 
-  private noteReleased(endpoint: string, taskId: string): void {
+  private recordReleasedSlot(endpoint: string, taskId: string): void {
     const ids = this.ctx.releasedSlots.get(endpoint)
     if (ids === undefined) this.ctx.releasedSlots.set(endpoint, [taskId])
     else ids.push(taskId)
   }
 
-  private count(outcome: Outcome): void {
+  private countOutcome(outcome: Outcome): void {
     const counters = this.ctx.counters
     if (outcome === Outcome.SUCCEEDED) counters.succeeded++
     else if (outcome === Outcome.FAILED) counters.failed++
@@ -116,7 +116,7 @@
   })
 }
 
-/** Counts a running task of a job with several at its endpoint and rack. @internal */
+/** Counts a running task towards its job's spread, if the job has several left. @internal */
 export function countAtJob(task: TaskRecord, endpoint: string, rack: string): void {
   const { job } = task
   if (job.remaining <= 1) return
@@ -125,7 +125,7 @@
   task.countedRack = rack
 }
 
-function uncountAtJob(task: TaskRecord, endpoint: string): void {
+function removeFromJobSpread(task: TaskRecord, endpoint: string): void {
   if (task.countedRack === undefined) return
   task.job.spread?.remove(endpoint, task.countedRack)
   task.countedRack = undefined
--- a/packages/owner/src/lib/recovery/LeaseKeeper.test.ts
+++ b/packages/owner/src/lib/recovery/LeaseKeeper.test.ts
@@ -5,7 +5,7 @@
 import { JOB, OwnerFixture } from '../fixtures/OwnerFixture'
 import { OwnerActionKind } from '../OwnerAction'
 
-function running(tasks = [0], deadlineInMs = 30_000): OwnerFixture {
+function ownerWithRunningTasks(tasks = [0], deadlineInMs = 30_000): OwnerFixture {
   const owner = new OwnerFixture()
   owner.heartbeat()
   owner.place(tasks, { deadlineInMs })
@@ -13,8 +13,8 @@
 }
 
 describe('leases', () => {
-  it('cost no message for short tasks', () => {
-    const owner = running([0, 1])
+  it('need no renewal for short tasks', () => {
+    const owner = ownerWithRunningTasks([0, 1])
     owner.passWithHeartbeats(1400, {})
     owner.end(owner.runOf(), RunResultKind.Succeeded)
     owner.end(owner.runOf(`${JOB}.1`), RunResultKind.Succeeded)
@@ -23,7 +23,7 @@
   })
 
   it('of long tasks are renewed in one message per endpoint', () => {
-    const owner = running([0, 1, 2])
+    const owner = ownerWithRunningTasks([0, 1, 2])
     owner.passWithHeartbeats(700, {})
     owner.place([0], { jobId: 'c1.1.2' })
     owner.passWithHeartbeats(900, {})
@@ -34,7 +34,7 @@
   })
 
   it('are renewed for as long as the endpoint knows the task', () => {
-    const owner = running()
+    const owner = ownerWithRunningTasks()
     for (let i = 0; i < 10; i++) {
       owner.actions = []
       owner.passWithHeartbeats(1600, {})
@@ -45,13 +45,13 @@
     assert.ok(owner.machine.counters.renewMessages <= 12)
   })
 
-  it('reveal a silent connection: a request that never arrived is tried elsewhere', () => {
-    const owner = running()
+  it('reveal a dead connection, so that a request that never arrived is retried elsewhere', () => {
+    const owner = ownerWithRunningTasks()
     owner.heartbeat({ endpoint: 'e2' })
     const silent = owner.runOf()
     owner.passWithHeartbeats(1600, {}, { endpoint: 'e2' })
     owner.endRenewal([])
-    assert.equal(owner.all(OwnerActionKind.StopTasks).length, 0, 'the answer may have crossed')
+    assert.equal(owner.all(OwnerActionKind.StopTasks).length, 0, 'the answer may be in flight')
     owner.passWithHeartbeats(250, {}, { endpoint: 'e2' })
     owner.endStops(StopState.NeverSeen, 1)
     owner.passWithHeartbeats(100, {}, { endpoint: 'e2' })
@@ -59,8 +59,8 @@
     assert.equal(owner.last(OwnerActionKind.DropRun).run, silent.run)
   })
 
-  it('are asked for early when a heartbeat does not list a task', () => {
-    const owner = running([0, 1])
+  it('are renewed early when a heartbeat does not list a task', () => {
+    const owner = ownerWithRunningTasks([0, 1])
     owner.heartbeat({ endpoint: 'e2' })
     const missing = owner.openRuns.find((run) => run.endpoint === 'e1')
     const others = owner.openRuns.filter((run) => run !== missing)
@@ -68,7 +68,7 @@
     owner.pass(400)
     owner.heartbeat({ runningTaskIds })
     owner.pass(150)
-    assert.equal(owner.all(OwnerActionKind.RenewLeases).length, 0, 'its answer may be on its way')
+    assert.equal(owner.all(OwnerActionKind.RenewLeases).length, 0, 'its answer may be in flight')
     owner.pass(100)
     assert.deepEqual(owner.last(OwnerActionKind.RenewLeases).taskIds, [missing?.taskId])
     owner.endRenewal([])
@@ -77,8 +77,8 @@
     assert.equal(owner.all(OwnerActionKind.CloseIdle).length, 1)
   })
 
-  it('that are renewed count for more than what heartbeats list', () => {
-    const owner = running()
+  it('that are renewed take precedence over heartbeat lists', () => {
+    const owner = ownerWithRunningTasks()
     owner.pass(400)
     owner.heartbeat({ runningTaskIds: [] })
     owner.pass(250)
@@ -87,8 +87,8 @@
     assert.equal(owner.machine.counters.renewMessages, 1)
   })
 
-  it('are not asked for again once the answer came', () => {
-    const owner = running()
+  it('are not renewed again once the answer arrived', () => {
+    const owner = ownerWithRunningTasks()
     owner.passWithHeartbeats(1600, {})
     owner.endRenewal([])
     owner.end(owner.runOf(), RunResultKind.Succeeded)
@@ -97,7 +97,7 @@
     assert.equal(owner.reportsOn()[0]?.outcome, Outcome.SUCCEEDED)
   })
 
-  it('give a slot back only when they ran out', () => {
+  it('free the slot of a lost task only when they expire', () => {
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1])
@@ -124,7 +124,7 @@
     assert.deepEqual([report?.outcome, report?.reason], [Outcome.NOT_RUN, Reason.DEADLINE_PASSED])
   })
 
-  it('that passed before the placement is a refusal', () => {
+  it('that passed before the placement causes a refusal', () => {
     const owner = new OwnerFixture()
     owner.heartbeat()
     owner.place([0], { deadlineInMs: 0 })
@@ -138,8 +138,8 @@
     { state: StopState.NoAnswer, outcome: Outcome.UNKNOWN },
   ]
   for (const { state, outcome } of ends) {
-    it(`stops a running task and says what is true when the endpoint says ${state}`, () => {
-      const owner = running([0, 1], 400)
+    it(`stops a running task and reports the outcome of the answer ${state}`, () => {
+      const owner = ownerWithRunningTasks([0, 1], 400)
       owner.pass(450)
       assert.equal(owner.all(OwnerActionKind.StopTasks).length, 1)
       owner.endStops(state, 1)
@@ -152,15 +152,15 @@
   }
 
   it('is the reason when the request of the stopped task fails first', () => {
-    const owner = running([0], 400)
+    const owner = ownerWithRunningTasks([0], 400)
     owner.pass(450)
     owner.end(owner.runOf(), RunResultKind.Failed)
     const [report] = owner.reportsOn()
     assert.deepEqual([report?.outcome, report?.reason], [Outcome.FAILED, Reason.DEADLINE_PASSED])
   })
 
-  it('leaves the answer of a task that ended in time its chance', () => {
-    const owner = running([0], 400)
+  it('still accepts the answer of a task that ended before it was stopped', () => {
+    const owner = ownerWithRunningTasks([0], 400)
     owner.pass(450)
     owner.endStops(StopState.Ended, 1)
     owner.end(owner.runOf(), RunResultKind.Succeeded)
--- a/packages/owner/src/lib/recovery/LeaseKeeper.ts
+++ b/packages/owner/src/lib/recovery/LeaseKeeper.ts
@@ -10,10 +10,10 @@
 import { CROSSING_MS } from './crossing'
 import type { LostTasks } from './LostTasks'
 
-/** A task whose renewals stay without answer this often is left to run out. */
-const MAX_UNANSWERED = 3
+/** After this many unanswered renewals in a row, the lease of a task is left to expire. */
+const MAX_UNANSWERED_RENEWALS = 3
 
-/** Renews the leases of tasks that run for long, and ends those whose lease or time ran out. @internal */
+/** Renews leases of long-running tasks, and ends tasks at lease expiry or deadline. @internal */
 export class LeaseKeeper {
   constructor(
     private readonly ctx: OwnerContext,
@@ -22,20 +22,20 @@
     private readonly probes: EndpointProbes,
   ) {}
 
-  /** Does what is due at one endpoint. Its running tasks are at most its slots. */
+  /** Runs the checks that are due at one endpoint. It has at most one running task per slot. */
   tend(now: number, record: EndpointRecord): void {
     if (now < record.dueAt) return
     record.dueAt = Infinity
-    this.giveUpQuestions(now, record)
-    for (const task of [...record.running.values()]) this.tendTask(now, task)
+    this.timeOutPendingRequests(now, record)
+    for (const task of [...record.running.values()]) this.checkTask(now, task)
     this.renew(now, record)
-    for (const task of record.running.values()) record.due(this.nextDue(now, task))
+    for (const task of record.running.values()) record.due(this.nextCheckAt(now, task))
     if (record.renewAsked !== undefined || record.stopsAsked !== undefined) {
       record.due(now + this.ctx.timing.recheckMs)
     }
   }
 
-  /** The answer to RenewLeases. */
+  /** Handles the answer to RenewLeases; `known` is undefined if the endpoint did not answer. */
   renewed(
     now: number,
     record: EndpointRecord,
@@ -54,28 +54,28 @@
     for (const taskId of asked) {
       const task = record.running.get(taskId)
       if (task === undefined) continue
-      if (known === undefined) this.unanswered(now, record, task)
-      else if (running.has(taskId)) this.lost.runs(now, record, task, boot)
-      else this.lost.missed(now, task)
+      if (known === undefined) this.recordUnansweredRenewal(now, record, task)
+      else if (running.has(taskId)) this.lost.confirmRunning(now, record, task, boot)
+      else this.lost.handleNotRunning(now, task)
     }
   }
 
-  private unanswered(now: number, record: EndpointRecord, task: TaskRecord): void {
-    // It may have arrived all the same, so the lease may last till then.
+  private recordUnansweredRenewal(now: number, record: EndpointRecord, task: TaskRecord): void {
+    // The renewal may have arrived, so the lease is counted from when it was sent.
     task.leasedAt = record.renewAskedAt
     task.unansweredRenewals++
     task.recheckAt = now + this.ctx.timing.recheckMs
   }
 
-  private tendTask(now: number, task: TaskRecord): void {
-    const last = task.lastChance
-    if (last !== undefined && now >= last.until) this.ends.settle(now, task, last.end)
-    else if (now >= this.ctx.leaseEnd(task)) this.runOut(now, task)
-    else if (now >= task.deadlineAt && !task.muted) this.passDeadline(task)
-    else this.lost.tend(now, task)
+  private checkTask(now: number, task: TaskRecord): void {
+    const fallback = task.lastChance
+    if (fallback !== undefined && now >= fallback.until) this.ends.settle(now, task, fallback.end)
+    else if (now >= this.ctx.leaseEnd(task)) this.expireLease(now, task)
+    else if (now >= task.deadlineAt && !task.muted) this.stopAtDeadline(task)
+    else this.lost.checkTask(now, task)
   }
 
-  private runOut(now: number, task: TaskRecord): void {
+  private expireLease(now: number, task: TaskRecord): void {
     this.ctx.counters.leasesRunOut++
     this.ends.settle(now, task, {
       outcome: Outcome.UNKNOWN,
@@ -85,22 +85,30 @@
     })
   }
 
-  /** It is stopped; what it is reported as depends on what the endpoint says to that. */
-  private passDeadline(task: TaskRecord): void {
-    // A fence stops it as well.
+  /** Stops a task at its deadline; the endpoint's answer decides which outcome is reported. */
+  private stopAtDeadline(task: TaskRecord): void {
+    // A fence also stops the task at its endpoint, so no separate stop is needed.
     const open = task.phase === TaskPhase.Running || task.phase === TaskPhase.Checking
     if (!open || task.lastChance !== undefined) return
     this.ctx.counters.expiredRunning++
     this.ctx.stop(task)
   }
 
-  /** One message for all tasks of the endpoint that are past a third of their lease. */
+  /**
+   * Sends one renewal per endpoint. It is due once a task is past half of its lease or needs an
+   * immediate check, and then includes all tasks past a third of their lease.
+   */
   private renew(now: number, record: EndpointRecord): void {
     if (record.renewAsked !== undefined || record.reach === EndpointReach.Unreachable) return
     const { leaseMs } = this.ctx.timing
-    const wanted = [...record.running.values()].filter((task) => this.mayRenew(now, task))
-    if (!wanted.some((task) => isUnclear(now, task) || now - task.leasedAt >= leaseMs / 2)) return
-    const old = wanted.filter((task) => isUnclear(now, task) || now - task.leasedAt >= leaseMs / 3)
+    const wanted = [...record.running.values()].filter((task) => this.isRenewable(now, task))
+    if (
+      !wanted.some((task) => needsImmediateCheck(now, task) || now - task.leasedAt >= leaseMs / 2)
+    )
+      return
+    const old = wanted.filter(
+      (task) => needsImmediateCheck(now, task) || now - task.leasedAt >= leaseMs / 3,
+    )
     const taskIds = old.map((task) => task.taskId)
     record.renewAsked = taskIds
     record.renewAskedAt = now
@@ -109,13 +117,14 @@
     this.ctx.outbox.push({ kind: OwnerActionKind.RenewLeases, endpoint, address, taskIds, leaseMs })
   }
 
-  private mayRenew(now: number, task: TaskRecord): boolean {
+  private isRenewable(now: number, task: TaskRecord): boolean {
     if (task.muted || now < task.recheckAt) return false
-    if (task.unansweredRenewals >= MAX_UNANSWERED || task.lastChance !== undefined) return false
+    if (task.unansweredRenewals >= MAX_UNANSWERED_RENEWALS || task.lastChance !== undefined)
+      return false
     return task.phase === TaskPhase.Running || task.phase === TaskPhase.Checking
   }
 
-  private nextDue(now: number, task: TaskRecord): number {
+  private nextCheckAt(now: number, task: TaskRecord): number {
     const { leaseMs } = this.ctx.timing
     let at = this.ctx.leaseEnd(task)
     if (task.lastChance !== undefined) at = Math.min(at, task.lastChance.until)
@@ -127,8 +136,8 @@
     return Math.min(at, Math.max(task.recheckAt, now))
   }
 
-  /** A shell that never answers must not block the endpoint for good. */
-  private giveUpQuestions(now: number, record: EndpointRecord): void {
+  /** Treats requests without an answer event as failed, so that they can't block the endpoint. */
+  private timeOutPendingRequests(now: number, record: EndpointRecord): void {
     const { askTimeoutMs } = this.ctx.timing
     if (record.renewAsked !== undefined && now - record.renewAskedAt >= askTimeoutMs) {
       this.renewed(now, record, undefined, undefined)
@@ -139,8 +148,8 @@
   }
 }
 
-/** Whether it has to be asked for at once whether the task runs. */
-function isUnclear(now: number, task: TaskRecord): boolean {
+/** Whether the endpoint must be asked at once whether the task runs. */
+function needsImmediateCheck(now: number, task: TaskRecord): boolean {
   if (task.phase === TaskPhase.Checking) return true
   return task.doubtedAt !== undefined && now - task.doubtedAt >= CROSSING_MS
 }
--- a/packages/owner/src/lib/recovery/LostTasks.ts
+++ b/packages/owner/src/lib/recovery/LostTasks.ts
@@ -14,15 +14,16 @@
 import { CROSSING_MS } from './crossing'
 import { TaskPhase } from '../tasks/TaskRecord'
 
-/** A heartbeat that confirms a fence has to come this much later, so that none from before counts. */
+/** Heartbeats within this time after a fence may predate it, and do not confirm it. */
 const CONFIRM_MARGIN_MS = 100
 
 /**
- * Finds out what became of tasks whose request broke or fell silent.
+ * Determines the state of tasks whose request broke or stopped responding.
  *
- * First the endpoint is asked by a renewal whether the task runs: if so, a second request joins
- * it, and nothing is lost. If not, the id is fenced: what was never seen truly did not run and may
- * be tried elsewhere, what had ended is fetched. Without an answer the lease has to run out.
+ * A lease renewal asks the endpoint whether the task runs. If it does, a second request joins it
+ * and fetches the result. If it does not, the id is fenced: a task that the endpoint never saw did
+ * not run and may be retried elsewhere; the result of a task that had ended is fetched. Without an
+ * answer, the owner waits until the lease expires.
  *
  * @internal
  */
@@ -35,8 +36,13 @@
     private readonly probes: EndpointProbes,
   ) {}
 
-  /** The endpoint renewed its lease: it runs. */
-  runs(now: number, record: EndpointRecord, task: TaskRecord, boot: number | undefined): void {
+  /** The endpoint renewed the lease of the task, so the task is running. */
+  confirmRunning(
+    now: number,
+    record: EndpointRecord,
+    task: TaskRecord,
+    boot: number | undefined,
+  ): void {
     task.leasedAt = record.renewAskedAt
     task.unansweredRenewals = 0
     task.missedAt = undefined
@@ -47,12 +53,12 @@
     if (task.phase === TaskPhase.Checking) this.dispatcher.join(now, task)
   }
 
-  /** The endpoint answered the renewal, but does not run the task. */
-  missed(now: number, task: TaskRecord): void {
+  /** The endpoint answered the renewal without listing the task as running. */
+  handleNotRunning(now: number, task: TaskRecord): void {
     task.unansweredRenewals = 0
-    const doubted = task.doubtedAt !== undefined && now - task.doubtedAt >= CROSSING_MS
+    const unlisted = task.doubtedAt !== undefined && now - task.doubtedAt >= CROSSING_MS
     if (task.phase === TaskPhase.Checking) this.fence(task)
-    else if (task.phase === TaskPhase.Running && doubted) this.fence(task)
+    else if (task.phase === TaskPhase.Running && unlisted) this.fence(task)
     else if (task.phase === TaskPhase.Running) {
       task.missedAt ??= now
       task.recheckAt = now + CROSSING_MS
@@ -60,17 +66,17 @@
     }
   }
 
-  /** Looks whether the next question about a task is due. */
-  tend(now: number, task: TaskRecord): void {
+  /** Sends the next fence or stop request for a task if it is due. */
+  checkTask(now: number, task: TaskRecord): void {
     if (now < task.recheckAt) return
-    const missed = task.phase === TaskPhase.Running && task.missedAt !== undefined
-    if (missed) this.fence(task)
+    const notRunning = task.phase === TaskPhase.Running && task.missedAt !== undefined
+    if (notRunning) this.fence(task)
     else if (task.phase === TaskPhase.Fencing || task.phase === TaskPhase.Stopping) {
       this.ctx.askToStop(task)
     }
   }
 
-  /** Sends what waits to be stopped; one message is open per endpoint, the rest waits for it. */
+  /** Sends pending stop requests. Each endpoint has one open message; later ids wait for it. */
   sendStops(now: number): void {
     for (const record of this.ctx.stopsWaiting) {
       if (record.stopsAsked !== undefined || record.pendingStops.size === 0) continue
@@ -86,7 +92,7 @@
     this.ctx.stopsWaiting.clear()
   }
 
-  /** The answer to StopTasks; ids that it leaves out count as unanswered. */
+  /** Handles the answer to StopTasks; ids missing from it count as unanswered. */
   stopsEnded(
     now: number,
     record: EndpointRecord,
@@ -105,12 +111,12 @@
     for (const [position, taskId] of asked.entries()) {
       const task = record.running.get(taskId)
       const state = answers[position]
-      if (task !== undefined && state !== undefined) this.stopEnded(now, task, state, boot)
+      if (task !== undefined && state !== undefined) this.handleStopResult(now, task, state, boot)
     }
     if (record.pendingStops.size > 0) this.ctx.stopsWaiting.add(record)
   }
 
-  private stopEnded(
+  private handleStopResult(
     now: number,
     task: TaskRecord,
     state: StopState,
@@ -120,25 +126,28 @@
     if (!stopping && task.phase !== TaskPhase.Fencing) return
     switch (state) {
       case StopState.NeverSeen:
-        this.neverSeen(now, task, boot)
+        this.handleNeverSeen(now, task, boot)
         return
       case StopState.Stopped:
-        this.stopped(now, task, stopping)
+        this.handleStopped(now, task, stopping)
         return
       case StopState.Ended:
         if (!stopping) this.dispatcher.join(now, task)
-        else this.endedBeforeStop(now, task)
+        else this.handleEndedBeforeStop(now, task)
         return
       case StopState.NoAnswer:
-        this.noAnswer(now, task)
+        this.handleNoAnswer(now, task)
         return
       default:
         exhaustive(state)
     }
   }
 
-  /** Only the process that the task was sent to can say that it never saw it. */
-  private neverSeen(now: number, task: TaskRecord, boot: number | undefined): void {
+  /**
+   * "Never seen" counts only if it comes from the process that the task was sent to. If the answer
+   * does not name its boot, a later heartbeat has to confirm that the endpoint did not restart.
+   */
+  private handleNeverSeen(now: number, task: TaskRecord, boot: number | undefined): void {
     if (task.started || (boot !== undefined && boot !== task.endpointBoot)) {
       this.settleUnknown(now, task, 'The endpoint restarted before it answered.')
     } else if (boot !== undefined || task.muted) this.notRun.fenced(now, task)
@@ -148,7 +157,7 @@
     }
   }
 
-  private stopped(now: number, task: TaskRecord, wanted: boolean): void {
+  private handleStopped(now: number, task: TaskRecord, wanted: boolean): void {
     if (!wanted) {
       this.settleUnknown(now, task, 'It was stopped when its request was lost.')
       return
@@ -161,22 +170,22 @@
     })
   }
 
-  /** Its answer, if one is still open, may come yet; nobody waits long for it. */
-  private endedBeforeStop(now: number, task: TaskRecord): void {
-    if (task.muted || task.requests.length === 0) this.ends.settle(now, task, pastDeadline)
+  /** The task ended before the stop; if a request is open, its answer is awaited briefly. */
+  private handleEndedBeforeStop(now: number, task: TaskRecord): void {
+    if (task.muted || task.requests.length === 0) this.ends.settle(now, task, unknownAfterDeadline)
     else {
       const until = now + CROSSING_MS
-      task.lastChance = { until, end: pastDeadline }
+      task.lastChance = { until, end: unknownAfterDeadline }
       task.endpoint?.due(until)
     }
   }
 
-  private noAnswer(now: number, task: TaskRecord): void {
+  private handleNoAnswer(now: number, task: TaskRecord): void {
     task.recheckAt = now + this.ctx.timing.recheckMs
     task.endpoint?.due(task.recheckAt)
     if (task.phase !== TaskPhase.Stopping || task.muted) return
-    // Its time is over: nobody waits for the lease, but the slot stays taken till then.
-    this.ends.report(now, task, pastDeadline)
+    // The deadline has passed: the task is reported now, but occupies its slot until lease expiry.
+    this.ends.report(now, task, unknownAfterDeadline)
   }
 
   private settleUnknown(now: number, task: TaskRecord, detail: string): void {
@@ -184,8 +193,8 @@
     this.ends.settle(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
   }
 
-  /** Idle connections to where one fell silent may be as dead. */
-  private closeSilent(task: TaskRecord): void {
+  /** Closes idle connections: if one request got no response, they may be dead as well. */
+  private closeIdleConnections(task: TaskRecord): void {
     const endpoint = task.endpoint?.endpoint
     if (endpoint === undefined || task.requests.length === 0) return
     this.ctx.outbox.push({ kind: OwnerActionKind.CloseIdle, endpoint })
@@ -193,12 +202,12 @@
 
   private fence(task: TaskRecord): void {
     task.phase = TaskPhase.Fencing
-    this.closeSilent(task)
+    this.closeIdleConnections(task)
     this.ctx.askToStop(task)
   }
 }
 
-const pastDeadline: TaskEnd = {
+const unknownAfterDeadline: TaskEnd = {
   outcome: Outcome.UNKNOWN,
   reason: Reason.DEADLINE_PASSED,
   detail: 'The deadline passed after it was dispatched, and no answer came.',
--- a/packages/owner/src/lib/recovery/crossing.ts
+++ b/packages/owner/src/lib/recovery/crossing.ts
@@ -1,7 +1,7 @@
 /**
- * An answer that crossed with a question gets this long, in milliseconds, before the question's
- * result is believed. Ways between zones take 1 to 1.5 ms by the users' pages; the rest is for
- * processes that are busy.
+ * How long a task's result that may already be in flight is awaited before the owner acts on an
+ * endpoint's statement that the task does not run. By the users' documentation, the one-way latency
+ * between availability zones is 1 to 1.5 ms; the rest is margin for busy processes.
  *
  * @internal
  */
