--- a/packages/owner/src/lib/client/EndpointClient.test.ts
+++ b/packages/owner/src/lib/client/EndpointClient.test.ts
@@ -9,12 +9,12 @@
 
 type EventOf<K extends OwnerEventKind> = Extract<OwnerEvent, { kind: K }>
 
-/** Events of the client, handed out in the order of their arrival. */
+/** Collects the client's events and returns those of each kind in order of arrival. */
 class Mailbox {
   readonly events: OwnerEvent[] = []
   private wake: () => void = () => undefined
 
-  readonly tell = (event: OwnerEvent): void => {
+  readonly emit = (event: OwnerEvent): void => {
     this.events.push(event)
     this.wake()
   }
@@ -37,7 +37,7 @@
   server = new EndpointServer()
   await server.listen()
   mailbox = new Mailbox()
-  client = new EndpointClient(mailbox.tell, { controlTimeoutMs: 150, maxOutputBytes: 1000 })
+  client = new EndpointClient(mailbox.emit, { controlTimeoutMs: 150, maxOutputBytes: 1000 })
 })
 
 afterEach(async () => {
@@ -58,7 +58,7 @@
 }
 
 describe('a run request', () => {
-  it('carries the task, and joins by naming the boot that is meant', async () => {
+  it('carries the task, and names the addressed boot when it joins', async () => {
     const seen: unknown[] = []
     server.handler = (req, body, res) => {
       seen.push(req.method, req.url, JSON.parse(body))
@@ -84,7 +84,7 @@
     ['a bare 429', 429, '', NotRun],
     ['a fenced id', 409, { ran: 'no' }, NotRun],
     ['a refusal on shutdown', 503, { ran: 'no' }, NotRun],
-    ['a 503 of somebody between', 503, '<html>', Unknown],
+    ['a 503 of an intermediary', 503, '<html>', Unknown],
     ['a bare 409', 409, '', Unknown],
     ['a forgotten answer', 410, { ran: 'unknown' }, Unknown],
     ['invalid JSON', 200, '{"output":', Failed],
@@ -102,13 +102,13 @@
     })
   }
 
-  it('carries the token that guarded endpoints ask for', async () => {
+  it('carries the token for endpoints that require authentication', async () => {
     const seen: unknown[] = []
     server.handler = (req, _body, res) => {
       seen.push(req.headers.authorization)
       res.end('{"output":1,"runMs":1,"running":[]}')
     }
-    const guarded = new EndpointClient(mailbox.tell, { token: 'secret' })
+    const guarded = new EndpointClient(mailbox.emit, { token: 'secret' })
     guarded.perform(makeRun(server.address))
     await mailbox.next(OwnerEventKind.RunEnded)
     guarded.perform({ kind: OwnerActionKind.Probe, endpoint: 'e1', address: server.address })
@@ -117,7 +117,7 @@
     assert.deepEqual(seen, ['Bearer secret', 'Bearer secret'])
   })
 
-  it('that was refused a connection was not run', async () => {
+  it('whose connection was refused was not run', async () => {
     const { address } = server
     await server.close()
     client.perform(makeRun(address))
@@ -132,7 +132,7 @@
     assert.equal((await mailbox.next(OwnerEventKind.RunEnded)).result.kind, Lost)
   })
 
-  it('on a connection that was used before and is reset is lost: it may have arrived', async () => {
+  it('on a reused connection that is reset is lost, as it may have arrived', async () => {
     client.perform(makeRun(server.address))
     await mailbox.next(OwnerEventKind.RunEnded)
     server.handler = (req) => req.socket.destroy()
@@ -141,7 +141,7 @@
     assert.equal(server.connections, 1)
   })
 
-  it('whose answer breaks off is lost', async () => {
+  it('whose answer is truncated is lost', async () => {
     server.handler = (req, _body, res) => {
       res.write('{"output":')
       setImmediate(() => req.socket.destroy())
@@ -150,7 +150,7 @@
     assert.equal((await mailbox.next(OwnerEventKind.RunEnded)).result.kind, Lost)
   })
 
-  it('that is never answered ends when it is dropped, once', async () => {
+  it('that is never answered ends exactly once when it is dropped', async () => {
     const arrived = new Promise<void>((resolve) => {
       server.handler = () => {
         resolve()
@@ -170,7 +170,7 @@
     assert.equal(mailbox.events.length, 0)
   })
 
-  it('waits in the client when its share of connections is taken', async () => {
+  it('waits in the client while its share of connections is in use', async () => {
     const waiting: (() => void)[] = []
     server.handler = (_req, _body, res) => waiting.push(() => res.end('{"output":1,"runMs":1}'))
     const full = new Promise<void>((resolve) => {
@@ -187,16 +187,16 @@
     renew(['c1.1.1.1'])
     const unanswered = await mailbox.next(OwnerEventKind.LeasesRenewed)
     assert.equal(unanswered.known, undefined)
-    assert.ok(server.mostConnections <= 6)
+    assert.ok(server.maxOpenConnections <= 6)
     const drained = setInterval(() => {
       for (const answer of waiting.splice(0)) answer()
     }, 5)
     for (let run = 1; run <= 10; run++) await mailbox.next(OwnerEventKind.RunEnded)
     clearInterval(drained)
-    assert.ok(server.mostConnections <= 6)
+    assert.ok(server.maxOpenConnections <= 6)
   })
 
-  it('leaves no idle connection behind when the endpoint is handed over', async () => {
+  it('leaves no idle connection open when the endpoint is handed over', async () => {
     client.perform(makeRun(server.address))
     await mailbox.next(OwnerEventKind.RunEnded)
     assert.equal(client.openConnections('e1'), 1)
@@ -207,14 +207,14 @@
 })
 
 describe('a control request', () => {
-  it('tells what runs, and drops ids that nobody asked about', async () => {
+  it('emits the running tasks without ids that were not requested', async () => {
     answerWith(200, { running: ['a.1.1.0', 'x.1.1.0'], boot: 3 })
     renew(['a.1.1.0', 'a.1.1.1'])
     const { known, boot, asked } = await mailbox.next(OwnerEventKind.LeasesRenewed)
     assert.deepEqual([known, boot, asked.length], [['a.1.1.0'], 3, 2])
   })
 
-  it('tells what became of stopped tasks', async () => {
+  it('emits the states of stopped tasks', async () => {
     const states = [
       { taskId: 'a.1.1.0', state: 'never_seen' },
       { taskId: 'x.1.1.0', state: 'ended' },
@@ -233,7 +233,7 @@
     assert.equal(client.counters.foreignAnswers, 1)
   })
 
-  it('is tried once more, on a new connection', async () => {
+  it('is retried once on a new connection', async () => {
     let first = true
     server.handler = (req, _body, res) => {
       if (first) req.socket.destroy()
@@ -265,7 +265,7 @@
     }
   })
 
-  it('finds an endpoint dead that does not answer a probe', async () => {
+  it('reports an endpoint as not alive if it does not answer a probe', async () => {
     server.handler = () => undefined
     client.perform({ kind: OwnerActionKind.Probe, endpoint: 'e1', address: server.address })
     assert.equal((await mailbox.next(OwnerEventKind.ProbeEnded)).alive, false)
--- a/packages/owner/src/lib/client/EndpointClient.ts
+++ b/packages/owner/src/lib/client/EndpointClient.ts
@@ -17,11 +17,11 @@
 /** Limits of the requests to endpoints. @public */
 export interface EndpointClientOptions {
   readonly connectTimeoutMs: number
-  /** For stops, leases and probes, each try. */
+  /** For each attempt of a stop, lease renewal or probe. */
   readonly controlTimeoutMs: number
-  /** Longest output of a task, in bytes. */
+  /** Maximum size of an endpoint's answer, in bytes. */
   readonly maxOutputBytes: number
-  /** Bearer token that guarded endpoints ask for. */
+  /** Bearer token for endpoints that require authentication. */
   readonly token: string | undefined
 }
 
@@ -38,11 +38,11 @@
   requests: number
   controlRequests: number
   controlRetries: number
-  /** Answers that name another task than the one asked for. */
+  /** Answers that name a task other than the requested one. */
   foreignAnswers: number
 }
 
-/** What an owner asks of endpoints. @internal */
+/** The owner's actions that concern endpoints. @internal */
 export type EndpointAction = Extract<
   OwnerAction,
   {
@@ -65,14 +65,14 @@
   readonly read: (reply: HttpReply) => Result<T, string>
 }
 
-/** Beyond the deadline the owner has ended the task by itself; the request is only cleaned up. */
-const AFTER_DEADLINE_MS = 10_000
+/** By then the owner has already ended the task at its deadline; the timeout only cleans up. */
+const RUN_TIMEOUT_MARGIN_MS = 10_000
 const PROBE_PATH = '/v1/health'
-/** Connections of an endpoint that nothing was asked of for this long are forgotten. */
-const FORGET_AFTER_MS = 60_000
+/** Connection pools of endpoints without requests for this long are closed. */
+const UNUSED_POOL_RETENTION_MS = 60_000
 
 /**
- * Carries out what the owner decides, with one fiber for each request, and answers with events.
+ * Performs the owner's actions at endpoints, one fiber per request, and emits results as events.
  *
  * @public
  */
@@ -83,14 +83,14 @@
     controlRetries: 0,
     foreignAnswers: 0,
   }
-  private readonly endpoints = new Map<string, { pool: EndpointConnections; usedAt: number }>()
-  private readonly runs = new Map<number, Fiber.Fiber<void>>()
+  private readonly pools = new Map<string, { pool: EndpointConnections; usedAt: number }>()
+  private readonly runFibers = new Map<number, Fiber.Fiber<void>>()
   private readonly options: EndpointClientOptions
   private readonly headers: Record<string, string> = { 'content-type': 'application/json' }
   private closed = false
 
   constructor(
-    private readonly tell: (event: OwnerEvent) => void,
+    private readonly emit: (event: OwnerEvent) => void,
     options: Partial<EndpointClientOptions> = {},
   ) {
     this.options = { ...defaultEndpointClientOptions, ...options }
@@ -114,29 +114,29 @@
         this.probe(action.endpoint, action.address)
         return
       case OwnerActionKind.DropRun:
-        this.drop(action.run)
+        this.dropRun(action.run)
         return
       case OwnerActionKind.CloseIdle:
-        this.endpoints.get(action.endpoint)?.pool.closeIdle()
+        this.pools.get(action.endpoint)?.pool.closeIdle()
     }
   }
 
   /** Open connections to an endpoint, idle ones included. */
   openConnections(endpoint: string): number {
-    return this.endpoints.get(endpoint)?.pool.open ?? 0
+    return this.pools.get(endpoint)?.pool.open ?? 0
   }
 
   close(): void {
     this.closed = true
-    for (const run of [...this.runs.keys()]) this.drop(run)
-    for (const { pool } of this.endpoints.values()) pool.close()
-    this.endpoints.clear()
+    for (const run of [...this.runFibers.keys()]) this.dropRun(run)
+    for (const { pool } of this.pools.values()) pool.close()
+    this.pools.clear()
   }
 
   private run(action: RunTaskAction): void {
     this.counters.requests++
-    const pool = this.pool(action.endpoint)
-    pool.setShare(action.maxConnections)
+    const pool = this.poolFor(action.endpoint)
+    pool.setLimit(action.maxConnections)
     const headers = { ...this.headers }
     if (action.traceparent !== '') headers.traceparent = action.traceparent
     const request = exchange({
@@ -148,20 +148,20 @@
       // What joins a task does so because its connection failed.
       agent: pool.run,
       connectTimeoutMs: this.options.connectTimeoutMs,
-      answerTimeoutMs: action.deadlineInMs + AFTER_DEADLINE_MS,
+      answerTimeoutMs: action.deadlineInMs + RUN_TIMEOUT_MARGIN_MS,
       maxAnswerBytes: this.options.maxOutputBytes,
     })
-    const ended = Effect.match(request, {
+    const result = Effect.match(request, {
       onSuccess: (reply) => this.readRun(action.taskId, reply),
       onFailure: readRunFailure,
     })
-    const told = Effect.map(ended, (result) => {
-      this.runEnded(action, result)
+    const emitted = Effect.map(result, (value) => {
+      this.emitRunEnded(action, value)
     })
     const dropped = Effect.sync(() => {
-      this.runEnded(action, lostResult('It was given up.'))
+      this.emitRunEnded(action, lostResult('The request was dropped.'))
     })
-    this.runs.set(action.run, Effect.runFork(Effect.onInterrupt(told, () => dropped)))
+    this.runFibers.set(action.run, Effect.runFork(Effect.onInterrupt(emitted, () => dropped)))
   }
 
   private readRun(taskId: string, reply: HttpReply): RunResult {
@@ -171,15 +171,15 @@
     return lostResult('The answer belonged to another task.')
   }
 
-  private drop(run: number): void {
-    const fiber = this.runs.get(run)
+  private dropRun(run: number): void {
+    const fiber = this.runFibers.get(run)
     if (fiber !== undefined) Effect.runFork(Fiber.interrupt(fiber))
   }
 
-  private runEnded(action: RunTaskAction, result: RunResult): void {
-    this.runs.delete(action.run)
+  private emitRunEnded(action: RunTaskAction, result: RunResult): void {
+    this.runFibers.delete(action.run)
     const { endpoint, taskId, run } = action
-    this.tell({ kind: OwnerEventKind.RunEnded, endpoint, taskId, run, result })
+    this.emit({ kind: OwnerEventKind.RunEnded, endpoint, taskId, run, result })
   }
 
   private stop(endpoint: string, address: string, taskIds: readonly string[]): void {
@@ -192,11 +192,11 @@
       body,
       read: readStopsReply,
     }
-    this.control(request, true, (reply) => {
+    this.sendControl(request, true, (reply) => {
       const asked = new Set(taskIds)
       const results = reply?.results.filter((result) => asked.has(result.taskId)) ?? []
       this.countForeign((reply?.results.length ?? 0) - results.length)
-      this.tell({ kind: OwnerEventKind.StopEnded, endpoint, results, boot: reply?.boot })
+      this.emit({ kind: OwnerEventKind.StopEnded, endpoint, results, boot: reply?.boot })
     })
   }
 
@@ -215,62 +215,67 @@
       body,
       read: readLeasesReply,
     }
-    this.control(request, true, (reply) => {
+    this.sendControl(request, true, (reply) => {
       const asked = new Set(taskIds)
       const known = reply?.running.filter((taskId) => asked.has(taskId))
       const boot = reply?.boot
-      this.tell({ kind: OwnerEventKind.LeasesRenewed, endpoint, asked: taskIds, known, boot })
+      this.emit({ kind: OwnerEventKind.LeasesRenewed, endpoint, asked: taskIds, known, boot })
     })
   }
 
-  /** On a new connection; whatever is answered, the endpoint is alive. */
+  /** Probes on a new connection; an answer of any status shows that the endpoint is alive. */
   private probe(endpoint: string, address: string): void {
     const read = (): Result<true, string> => Ok(true)
     const request = { endpoint, address, method: 'GET', path: PROBE_PATH, body: '', read }
-    this.control(request, false, (reply) => {
-      this.tell({ kind: OwnerEventKind.ProbeEnded, endpoint, alive: reply !== undefined })
+    this.sendControl(request, false, (reply) => {
+      this.emit({ kind: OwnerEventKind.ProbeEnded, endpoint, alive: reply !== undefined })
     })
   }
 
-  private control<T>(
+  private sendControl<T>(
     request: ControlRequest<T>,
-    keptFirst: boolean,
+    tryPersistent: boolean,
     done: (reply: T | undefined) => void,
   ): void {
     this.counters.controlRequests++
-    const onNew = this.ask(request, false)
+    const onNewConnection = this.attemptControl(request, false)
     const retried = Effect.suspend(() => {
       this.counters.controlRetries++
-      return onNew
+      return onNewConnection
     })
-    const asked = keptFirst ? Effect.catch(this.ask(request, true), () => retried) : onNew
-    const told = Effect.match(asked, {
-      onSuccess: (reply) => {
-        if (!this.closed) done(reply)
+    const reply = tryPersistent
+      ? Effect.catch(this.attemptControl(request, true), () => retried)
+      : onNewConnection
+    const completed = Effect.match(reply, {
+      onSuccess: (value) => {
+        if (!this.closed) done(value)
       },
       onFailure: () => {
         if (!this.closed) done(undefined)
       },
     })
-    Effect.runFork(told)
+    Effect.runFork(completed)
   }
 
-  private ask<T>(request: ControlRequest<T>, kept: boolean): Effect.Effect<T, string> {
-    const pool = this.pool(request.endpoint)
+  private attemptControl<T>(
+    request: ControlRequest<T>,
+    persistent: boolean,
+  ): Effect.Effect<T, string> {
+    const pool = this.poolFor(request.endpoint)
     const answer = exchange({
       method: request.method,
       address: request.address,
       path: request.path,
       headers: this.headers,
       body: request.body,
-      agent: kept ? pool.control : pool.fresh,
+      agent: persistent ? pool.control : pool.fresh,
       connectTimeoutMs: this.options.connectTimeoutMs,
       answerTimeoutMs: this.options.controlTimeoutMs,
       maxAnswerBytes: this.options.maxOutputBytes,
     })
-    const failed = Effect.mapError(answer, (failure) => failure.detail)
-    return Effect.flatMap(failed, (reply) => {
-      const read = request.read(reply)
+    const reply = Effect.mapError(answer, (failure) => failure.detail)
+    return Effect.flatMap(reply, (value) => {
+      const read = request.read(value)
       return read.ok ? Effect.succeed(read.val) : Effect.fail(read.val)
     })
   }
@@ -279,24 +284,24 @@
     this.counters.foreignAnswers += count
   }
 
-  private pool(endpoint: string): EndpointConnections {
+  private poolFor(endpoint: string): EndpointConnections {
     const now = Date.now()
-    const known = this.endpoints.get(endpoint)
+    const known = this.pools.get(endpoint)
     if (known !== undefined) {
       known.usedAt = now
       return known.pool
     }
-    this.forgetUnused(now)
+    this.closeUnusedPools(now)
     const pool = new EndpointConnections(Infinity)
-    this.endpoints.set(endpoint, { pool, usedAt: now })
+    this.pools.set(endpoint, { pool, usedAt: now })
     return pool
   }
 
-  private forgetUnused(now: number): void {
-    for (const [endpoint, { pool, usedAt }] of this.endpoints) {
-      if (now - usedAt < FORGET_AFTER_MS || pool.open > 0) continue
+  private closeUnusedPools(now: number): void {
+    for (const [endpoint, { pool, usedAt }] of this.pools) {
+      if (now - usedAt < UNUSED_POOL_RETENTION_MS || pool.open > 0) continue
       pool.close()
-      this.endpoints.delete(endpoint)
+      this.pools.delete(endpoint)
     }
   }
 }
--- a/packages/owner/src/lib/client/EndpointConnections.ts
+++ b/packages/owner/src/lib/client/EndpointConnections.ts
@@ -2,65 +2,73 @@
 import { CONTROL_CONNECTIONS } from '../endpoints/connectionShares'
 
 /**
- * Idle connections are closed after this. Heartbeats and leases pass within it on a busy endpoint,
- * and a path that lost track of a connection is not met with an old one.
+ * Idle connections are closed after this. On a busy endpoint, heartbeats and lease renewals recur
+ * within this time. Closing idle connections avoids reuse of one that a device on the network path
+ * may have dropped from its state.
  */
 const IDLE_LIMIT_MS = 1500
 
 /**
- * The connections to one endpoint, never more than its share: most for running tasks, one kept
- * open for stops and leases, and one that is made anew each time, for probes and second tries.
+ * The connection pool for one endpoint, bounded by the owner's share of the endpoint's connections:
+ * most for running tasks, a persistent one for stops and lease renewals, and a single-use one for
+ * probes and second attempts.
  *
  * @internal
  */
 export class EndpointConnections {
   readonly run = keepAliveAgent()
-  private readonly kept = keepAliveAgent()
-  private readonly single = new http.Agent({ keepAlive: false, maxSockets: 1 })
-  private share = 1
+  private readonly persistentControl = keepAliveAgent()
+  private readonly singleUse = new http.Agent({ keepAlive: false, maxSockets: 1 })
+  private limit = 1
 
-  constructor(share: number) {
-    this.kept.maxSockets = 1
-    this.setShare(share)
+  constructor(maxConnections: number) {
+    this.persistentControl.maxSockets = 1
+    this.setLimit(maxConnections)
   }
 
-  setShare(share: number): void {
-    this.share = Math.max(1, share)
-    this.run.maxSockets = Math.max(1, this.share - CONTROL_CONNECTIONS)
+  setLimit(maxConnections: number): void {
+    this.limit = Math.max(1, maxConnections)
+    this.run.maxSockets = Math.max(1, this.limit - CONTROL_CONNECTIONS)
     this.run.maxFreeSockets = this.run.maxSockets
   }
 
-  /** For stops and leases. A small share has no room for a connection that stays open. */
+  /** For stops and lease renewals. A small limit leaves no room for a persistent connection. */
   get control(): http.Agent {
-    return this.share > CONTROL_CONNECTIONS ? this.kept : this.fresh
+    return this.limit > CONTROL_CONNECTIONS ? this.persistentControl : this.fresh
   }
 
   /** Opens a new connection for each request. */
   get fresh(): http.Agent {
-    return this.share > 1 ? this.single : this.run
+    return this.limit > 1 ? this.singleUse : this.run
   }
 
-  /** Sockets that are open now, idle ones included. */
+  /** Number of open sockets, including idle ones. */
   get open(): number {
-    return [this.run, this.kept, this.single].reduce((sum, agent) => sum + countSockets(agent), 0)
+    return [this.run, this.persistentControl, this.singleUse].reduce(
+      (sum, agent) => sum + countSockets(agent),
+      0,
+    )
   }
 
-  /** A connection whose answer was just read is idle only after this turn. */
+  /**
+   * Closes idle connections. Deferred to the next event loop turn, since a connection becomes idle
+   * only after the turn in which its answer was read.
+   */
   closeIdle(): void {
     setImmediate(() => {
-      for (const agent of [this.run, this.kept]) {
+      for (const agent of [this.run, this.persistentControl]) {
         for (const socket of Object.values(agent.freeSockets).flat()) socket?.destroy()
       }
     })
   }
 
   close(): void {
-    for (const agent of [this.run, this.kept, this.single]) agent.destroy()
+    for (const agent of [this.run, this.persistentControl, this.singleUse]) agent.destroy()
   }
 }
 
 function keepAliveAgent(): http.Agent {
-  // The last used connection first: the others reach their idle limit.
+  // LIFO reuses the most recently used connection, so that the others reach their idle timeout.
   return new http.Agent({ keepAlive: true, timeout: IDLE_LIMIT_MS, scheduling: 'lifo' })
 }
 
--- a/packages/owner/src/lib/client/readJson.ts
+++ b/packages/owner/src/lib/client/readJson.ts
@@ -1,7 +1,7 @@
 import type { Result } from 'ts-results'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** Reads a JSON object; an error when the text is none. @internal */
+/** Parses a JSON object; an error if the text is not one. @internal */
 export function readJsonObject(text: string): Result<Readonly<Record<string, unknown>>, string> {
   try {
     const value: unknown = JSON.parse(text)
@@ -14,14 +14,14 @@
   }
 }
 
-/** The strings of a list; undefined when the value is no list of strings. @internal */
-export function readTexts(value: unknown): readonly string[] | undefined {
+/** The value as a list of strings; undefined if it is not one. @internal */
+export function readStrings(value: unknown): readonly string[] | undefined {
   if (!Array.isArray(value)) return undefined
   const texts = value.filter((item): item is string => typeof item === 'string')
   return texts.length === value.length ? texts : undefined
 }
 
-/** The boot number that an answer names; undefined when it names none. @internal */
+/** The boot number in an answer; undefined if it has none. @internal */
 export function readBoot(answer: Readonly<Record<string, unknown>>): number | undefined {
   return typeof answer.boot === 'number' ? answer.boot : undefined
 }
--- a/packages/owner/src/lib/client/runTaskBody.ts
+++ b/packages/owner/src/lib/client/runTaskBody.ts
@@ -3,11 +3,11 @@
 import type { RunTaskAction } from '../OwnerAction'
 
 /**
- * The body of `PUT /v1/tasks/{id}`. The payload is JSON text already and goes in as it is.
+ * The body of `PUT /v1/tasks/{id}`. The payload is already JSON text and is inserted unchanged.
  *
- * It names the boot of the endpoint that the owner means: another process there must refuse it
- * with `ran: no`, since the old one may have started the task. A request that joins says so, and
- * must start nothing.
+ * `boot` names the endpoint process that the owner addresses: any other process must refuse the
+ * request with `ran: no`, since the addressed one may have started the task. With `join`, the
+ * request only waits for a task that runs there, and must not start it.
  *
  * @internal
  */
