--- a/packages/owner/src/lib/spans/taskSpans.ts
+++ b/packages/owner/src/lib/spans/taskSpans.ts
@@ -4,19 +4,19 @@
 
 const SAMPLED = '01'
 
-/** The run of a task at an endpoint; the endpoint's own spans are its children. */
+/** Span id of a task's run at an endpoint; the endpoint's own spans are its children. */
 function runSpanId(task: TaskRecord): string {
   task.runSpanId ??= deriveSpanId(`${task.taskId}/run/${task.attempt}/${task.retries}`)
   return task.runSpanId
 }
 
-/** W3C trace context for the endpoint; empty when the job came without one. @internal */
+/** W3C trace context for the endpoint; empty if the job has none. @internal */
 export function runTraceparent(task: TaskRecord): string {
   const trace = task.job.trace
   return trace === undefined ? '' : `00-${trace.traceId}-${runSpanId(task)}-${SAMPLED}`
 }
 
-/** The wait in the queue, from its entry to the dispatch. @internal */
+/** The span of the wait in the queue, from enqueueing to dispatch. @internal */
 export function queueSpan(now: number, task: TaskRecord): SpanRecord | undefined {
   const trace = task.job.trace
   if (trace === undefined) return undefined
@@ -24,7 +24,7 @@
   return span(trace, 'owner.queue', deriveSpanId(seed), task, task.enqueuedAt, now, true)
 }
 
-/** The run, from its dispatch to the end of the wait for its answer. @internal */
+/** The span of the run, from dispatch until its result is no longer awaited. @internal */
 export function runSpan(now: number, task: TaskRecord, ok: boolean): SpanRecord | undefined {
   const trace = task.job.trace
   if (trace === undefined) return undefined
--- a/packages/owner/src/lib/tasks/DelayedTasks.ts
+++ b/packages/owner/src/lib/tasks/DelayedTasks.ts
@@ -6,7 +6,7 @@
   readonly task: TaskRecord
 }
 
-/** Tasks that go back to their queue after a delay: a binary heap by instant. @internal */
+/** Tasks that await a delayed retry: a binary min-heap ordered by due time. @internal */
 export class DelayedTasks {
   private readonly heap: DelayedTask[] = []
 
@@ -19,7 +19,7 @@
     this.siftUp(this.heap.length - 1)
   }
 
-  /** Takes out one that is due; those cancelled meanwhile are skipped. */
+  /** Removes and returns a due task; tasks cancelled in the meantime are discarded. */
   popDue(now: number): TaskRecord | undefined {
     for (;;) {
       const first = this.heap[0]
--- a/packages/owner/src/lib/tasks/JobSpread.ts
+++ b/packages/owner/src/lib/tasks/JobSpread.ts
@@ -1,4 +1,4 @@
-/** Where the running tasks of one job are, so that the picker can spread them. @internal */
+/** Counts a job's running tasks per endpoint and rack, so the picker can spread them. @internal */
 export class JobSpread {
   private readonly endpoints = new Map<string, number>()
   private readonly racks = new Map<string, number>()
@@ -9,8 +9,8 @@
   }
 
   remove(endpoint: string, rack: string): void {
-    lower(this.endpoints, endpoint)
-    lower(this.racks, rack)
+    decrement(this.endpoints, endpoint)
+    decrement(this.racks, rack)
   }
 
   atEndpoint(endpoint: string): number {
@@ -22,7 +22,7 @@
   }
 }
 
-function lower(counts: Map<string, number>, key: string): void {
+function decrement(counts: Map<string, number>, key: string): void {
   const count = counts.get(key) ?? 0
   if (count <= 1) counts.delete(key)
   else counts.set(key, count - 1)
--- a/packages/owner/src/lib/tasks/TaskBook.ts
+++ b/packages/owner/src/lib/tasks/TaskBook.ts
@@ -2,7 +2,7 @@
 import type { PlaceTasks } from '@cherryhitch/protocol'
 import type { JobRecord, TaskRecord } from './TaskRecord'
 
-/** All tasks that are queued or dispatched here, by id, by job and by coordinator. @internal */
+/** All tasks queued or dispatched by this owner, indexed by id, job and coordinator. @internal */
 export class TaskBook {
   private readonly tasks = new Map<string, TaskRecord>()
   private readonly jobs = new Map<string, JobRecord>()
@@ -28,7 +28,7 @@
     return this.coordinators.keys()
   }
 
-  /** Makes the job of a placement known, or takes in what it says newly. */
+  /** Adds the job of a placement, or updates the remaining tasks of a known job. */
   openJob(placement: PlaceTasks, coordinator: string): JobRecord {
     const known = this.jobs.get(placement.jobId)
     if (known !== undefined) {
@@ -56,14 +56,14 @@
     task.job.tasks.set(task.index, task)
   }
 
-  /** Forgets a task, and its job with the last one. */
+  /** Removes a task, and its job if it was the last one. */
   remove(task: TaskRecord): void {
     this.tasks.delete(task.taskId)
     task.job.tasks.delete(task.index)
     this.closeJob(task.job)
   }
 
-  /** Forgets a job that has no task here. */
+  /** Removes a job that has no tasks at this owner. */
   closeJob(job: JobRecord): void {
     if (job.tasks.size > 0) return
     this.jobs.delete(job.jobId)
--- a/packages/owner/src/lib/tasks/TaskMemory.ts
+++ b/packages/owner/src/lib/tasks/TaskMemory.ts
@@ -1,23 +1,23 @@
 import type { TaskReport } from '@cherryhitch/protocol'
 
-/** What is remembered of a task that is not in the book any more. @internal */
+/** The history entry of a task that is no longer queued or dispatched. @internal */
 export interface RememberedTask {
   readonly taskId: string
   readonly at: number
-  /** Placements up to this attempt are duplicates; a fenced id refuses every attempt. */
+  /** Placements up to this attempt are duplicates; a fenced id rejects every attempt. */
   readonly attempt: number
-  /** It truly did not run, so that a later attempt may. */
+  /** The task provably did not run, so a later attempt may be started. */
   readonly notRun: boolean
   readonly coordinator: string
-  /** Undefined for a fenced id, and once the bound on kept outputs dropped it. */
+  /** Undefined for a fenced id, and once evicted by the limit on retained output. */
   report: TaskReport | undefined
-  /** Whether the endpoint said that the task holds no slot any more. */
+  /** Whether the endpoint confirmed that the task no longer holds a slot. */
   released: boolean
-  /** The owner that it was passed on to. */
+  /** The owner that the task was passed on to. */
   readonly passedTo: string | undefined
 }
 
-/** Limits of the memory. @internal */
+/** Limits on the task history; `output` counts characters. @internal */
 export interface TaskMemoryOptions {
   readonly rememberMs: number
   readonly tasks: number
@@ -25,17 +25,17 @@
 }
 
 /**
- * Ended, fenced and passed-on tasks, bounded by time and number, so that a placement that comes
- * late or twice starts nothing and a report can be sent again.
+ * A history of ended, fenced and passed-on tasks, bounded by time and number. It keeps late or
+ * duplicate placements from starting a task again, and allows a report to be resent.
  *
  * @internal
  */
 export class TaskMemory {
   private readonly entries = new Map<string, RememberedTask>()
-  /** Entries that still have their report, the oldest first. */
+  /** Entries that still have their report, oldest first. */
   private readonly withReports = new Map<string, RememberedTask>()
   private readonly cancelledJobs = new Map<string, number>()
-  private readonly passedJobs = new Map<string, { at: number; to: Set<string> }>()
+  private readonly passedOnJobs = new Map<string, { at: number; to: Set<string> }>()
   private outputSize = 0
 
   constructor(private readonly options: TaskMemoryOptions) {}
@@ -75,18 +75,18 @@
   }
 
   rememberPassedJob(now: number, jobId: string, to: string): void {
-    const targets = this.passedJobs.get(jobId)?.to ?? new Set<string>()
+    const targets = this.passedOnJobs.get(jobId)?.to ?? new Set<string>()
     targets.add(to)
-    this.passedJobs.delete(jobId)
-    this.passedJobs.set(jobId, { at: now, to: targets })
+    this.passedOnJobs.delete(jobId)
+    this.passedOnJobs.set(jobId, { at: now, to: targets })
   }
 
   /** The owners that tasks of a job were passed on to. */
   passedTo(jobId: string): readonly string[] {
-    return [...(this.passedJobs.get(jobId)?.to ?? [])]
+    return [...(this.passedOnJobs.get(jobId)?.to ?? [])]
   }
 
-  /** Forgets what is older than the limit. Maps keep the order of insertion, so that is the head. */
+  /** Evicts entries past the retention time. Maps keep insertion order, so these come first. */
   expire(now: number): void {
     const oldest = now - this.options.rememberMs
     for (const entry of this.entries.values()) {
@@ -97,17 +97,17 @@
       if (at > oldest) break
       this.cancelledJobs.delete(jobId)
     }
-    for (const [jobId, { at }] of this.passedJobs) {
+    for (const [jobId, { at }] of this.passedOnJobs) {
       if (at > oldest) break
-      this.passedJobs.delete(jobId)
+      this.passedOnJobs.delete(jobId)
     }
   }
 
   private enforceBounds(): void {
-    if (this.entries.size > this.options.tasks) this.trimEntries(afterTrim(this.options.tasks))
-    if (this.outputSize > this.options.output) this.trimReports(afterTrim(this.options.output))
+    if (this.entries.size > this.options.tasks) this.trimEntries(sizeAfterTrim(this.options.tasks))
+    if (this.outputSize > this.options.output) this.trimReports(sizeAfterTrim(this.options.output))
     trimOldest(this.cancelledJobs, this.options.tasks)
-    trimOldest(this.passedJobs, this.options.tasks)
+    trimOldest(this.passedOnJobs, this.options.tasks)
   }
 
   private trimEntries(limit: number): void {
@@ -131,20 +131,21 @@
   }
 }
 
-/** Share of a full memory that is freed at once. */
-const TRIMMED_SHARE = 1 / 20
+/** Fraction of a full history that is evicted at once. */
+const TRIM_FRACTION = 1 / 20
 
 /**
- * What is left after a trim. A Map walks over the places of deleted entries to find its oldest one,
- * so to drop one entry each time made the owner three times slower (docs/CAPACITY.md).
+ * Size left after a trim, in the unit of the limit. To find its oldest entry, a Map walks over the
+ * slots of deleted ones, so evicting one entry at a time made the owner three times slower
+ * (docs/CAPACITY.md).
  */
-function afterTrim(limit: number): number {
-  return limit - Math.floor(limit * TRIMMED_SHARE)
+function sizeAfterTrim(limit: number): number {
+  return limit - Math.floor(limit * TRIM_FRACTION)
 }
 
 function trimOldest(map: Map<string, unknown>, limit: number): void {
   if (map.size <= limit) return
-  const left = afterTrim(limit)
+  const left = sizeAfterTrim(limit)
   for (const key of map.keys()) {
     if (map.size <= left) return
     map.delete(key)
--- a/packages/owner/src/lib/tasks/TaskRecord.ts
+++ b/packages/owner/src/lib/tasks/TaskRecord.ts
@@ -5,25 +5,25 @@
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import type { JobSpread } from './JobSpread'
 
-/** Where a task stands at its owner. @internal */
+/** The state of a task at its owner. @internal */
 export enum TaskPhase {
   /** In the queue of its service. */
   Queued = 'queued',
-  /** Truly not run; it goes back to the queue after a delay. */
+  /** Provably not run; it returns to the queue after a retry delay. */
   Delayed = 'delayed',
   /** Dispatched; a request is open. */
   Running = 'running',
   /** The request broke; the endpoint is asked whether the task runs. */
   Checking = 'checking',
-  /** The endpoint does not run it; it is asked to fence the id. */
+  /** The endpoint does not run the task and is asked to fence its id. */
   Fencing = 'fencing',
   /** Fenced as never seen; a heartbeat has to confirm that the endpoint did not restart. */
   Confirming = 'confirming',
-  /** Nobody waits for it any more; the endpoint is asked to stop it. */
+  /** Cancelled or past its deadline; the endpoint is asked to stop it. */
   Stopping = 'stopping',
 }
 
-/** What the tasks of one job have in common at this owner. @internal */
+/** The state that the tasks of one job share at this owner. @internal */
 export interface JobRecord {
   readonly jobId: string
   readonly caller: string
@@ -31,15 +31,15 @@
   readonly idempotent: boolean
   readonly traceparent: string
   readonly trace: Traceparent | undefined
-  /** Tasks of the whole job without a result, as far as it is known here. */
+  /** Tasks of the whole job without a result, as far as this owner knows. */
   remaining: number
   readonly tasks: Map<number, TaskRecord>
-  /** Made with the first dispatch of a job that has several tasks left. */
+  /** Created at the first dispatch while the job has several tasks left. */
   spread: JobSpread | undefined
 }
 
-/** How a task ends when its answer does not come until an instant. @internal */
-export interface LastChance {
+/** How a task ends if its answer has not arrived by `until`. @internal */
+export interface FallbackEnd {
   readonly until: number
   readonly end: TaskEnd
 }
@@ -47,41 +47,41 @@
 /** @internal */
 export class TaskRecord implements QueuedTask {
   phase = TaskPhase.Queued
-  /** Where it was dispatched to. */
+  /** The endpoint that the task is dispatched to. */
   endpoint: EndpointRecord | undefined
   /** Boot of the endpoint when the task was dispatched. */
   endpointBoot = 0
-  /** Numbers of the requests that are open for it: one, or two while it is joined. */
+  /** Numbers of the open requests for the task: one, or two once a second request joined it. */
   requests: readonly number[] = []
   dispatchedAt = 0
-  /** When the message left that granted its lease last, heard or not. */
+  /** When the latest message that may have granted the lease was sent, answered or not. */
   leasedAt = 0
-  /** Renewals in a row that had no answer. */
+  /** Consecutive unanswered renewals. */
   unansweredRenewals = 0
-  /** A renewal said that it does not run, though its answer has not come. */
+  /** When a renewal's answer said that the task does not run, while its result is outstanding. */
   missedAt: number | undefined
-  /** A heartbeat did not list it, though its answer has not come. */
+  /** When a heartbeat did not list the task, while its result is outstanding. */
   doubtedAt: number | undefined
-  /** A renewal was answered for it, which counts for more than what heartbeats list. */
+  /** A renewal confirmed that the task runs, which takes precedence over heartbeat lists. */
   vouched = false
-  /** Earliest instant of the next question about it. */
+  /** Earliest time of the next request to the endpoint about the task. */
   recheckAt = 0
-  /** Set when its answer, if it comes at all, is on its way already. */
-  lastChance: LastChance | undefined
-  /** A request after the first one was made, so it is known to have started. */
+  /** Set while a result may still be in flight after the task ended or its endpoint restarted. */
+  lastChance: FallbackEnd | undefined
+  /** A join request was sent, so the endpoint is known to have started the task. */
   started = false
-  /** Its report was sent, or none is wanted. */
+  /** The report was sent, or none is to be sent. */
   muted = false
-  /** Dispatches that truly did not run. */
+  /** Dispatches that provably did not run. */
   retries = 0
-  /** The rack where it counts among its job's running tasks. */
+  /** The rack under which the task is counted in its job's spread. */
   countedRack: string | undefined
-  /** The endpoint that refused it last, and until when it is tried elsewhere if there is one. */
+  /** The last endpoint that refused the task, and until when other endpoints are preferred. */
   refusedBy: string | undefined
   refusedUntil = 0
-  /** Span of the present dispatch, once it was asked for. */
+  /** Span id of the current dispatch, created on first use. */
   runSpanId: string | undefined
-  /** Endpoints where its id is fenced. */
+  /** Endpoints where the task's id is fenced. */
   fencedAt: readonly string[] = []
   readonly jobRemaining: number
   readonly estimateMs: number
@@ -93,7 +93,7 @@
     readonly taskId: string,
     readonly job: JobRecord,
     readonly deadlineAt: number,
-    /** When it was queued last. */
+    /** When the task was last queued. */
     public enqueuedAt: number,
     placed: PlacedTask,
     spec: TaskSpec,
--- a/packages/owner/src/lib/views/EndpointView.ts
+++ b/packages/owner/src/lib/views/EndpointView.ts
@@ -1,7 +1,7 @@
 import type { HealthState } from '@cherryhitch/policy'
 import type { EndpointReach } from '../endpoints/EndpointRecord'
 
-/** What operators see of an endpoint. @public */
+/** The state of an endpoint as shown to operators. @public */
 export interface EndpointView {
   readonly endpoint: string
   readonly service: string
@@ -9,19 +9,19 @@
   readonly rack: string
   readonly address: string
   readonly boot: number
-  /** False while tasks from here end after it was handed over. */
+  /** False after a handover, while tasks that this owner dispatched still run there. */
   readonly owned: boolean
   readonly leaving: boolean
   readonly reach: EndpointReach
   readonly health: HealthState
   readonly slots: number
   readonly freeSlots: number
-  /** Tasks dispatched from here whose end is not known. */
+  /** Tasks dispatched by this owner that are not known to have ended. */
   readonly runningTasks: number
   /** Slots held by tasks of other owners. */
   readonly heldSlots: number
   /** Milliseconds since its last heartbeat. */
   readonly silentMs: number
-  /** Run times over those of its peers for the same work; 1 is average. */
+  /** Ratio of its run times to those of its peers for the same work; 1 is average. */
   readonly slowness: number
 }
--- a/packages/owner/src/lib/views/Summaries.ts
+++ b/packages/owner/src/lib/views/Summaries.ts
@@ -7,10 +7,10 @@
 import { EndpointReach } from '../endpoints/EndpointRecord'
 import type { OwnerContext } from '../OwnerContext'
 
-/** A change of free slots by this share is worth a message. */
-const MUCH = 0.25
+/** A change in free slots by more than this fraction is announced. */
+const SIGNIFICANT_CHANGE = 0.25
 
-interface Offer {
+interface SlotOffer {
   readonly slots: number
   readonly freeSlots: number
 }
@@ -23,9 +23,9 @@
   largest: Resources | undefined
 }
 
-/** What this owner offers per service, and whether coordinators should hear of a change. @internal */
+/** Summarizes capacity and load per service, and detects changes worth announcing. @internal */
 export class Summaries {
-  private announced = new Map<string, Offer>()
+  private announced = new Map<string, SlotOffer>()
   private announcedAt = -Infinity
 
   constructor(private readonly ctx: OwnerContext) {}
@@ -35,14 +35,14 @@
     return [...this.ctx.lanes.values()].map((lane) => this.summarize(now, lane))
   }
 
-  /** Whether the offer differs much from the one that was announced last. */
+  /** Whether the slots on offer differ significantly from those last announced. */
   changedMuch(now: number): boolean {
     if (now - this.announcedAt < this.ctx.timing.summaryMs) return false
-    const offers = new Map<string, Offer>()
+    const offers = new Map<string, SlotOffer>()
     if (!this.ctx.draining) {
       for (const lane of this.ctx.lanes.values()) offers.set(lane.service, this.tally(now, lane))
     }
-    if (!differMuch(this.announced, offers)) return false
+    if (!differSignificantly(this.announced, offers)) return false
     this.announced = offers
     this.announcedAt = now
     return true
@@ -69,7 +69,7 @@
     for (const record of lane.endpoints) {
       if (!this.isUsable(now, record)) continue
       tally.endpoints++
-      tally.largest = larger(tally.largest, record.announcement.capacity)
+      tally.largest = maxResources(tally.largest, record.announcement.capacity)
       const health = this.ctx.health.state(now, record.endpoint)
       if (health === HealthState.Ejected) {
         tally.ejected++
@@ -87,8 +87,11 @@
   }
 }
 
-/** The larger worker, by cores, then memory, then accelerators. */
-function larger(one: Resources | undefined, other: Resources | undefined): Resources | undefined {
+/** The maximum of each resource, taken separately. */
+function maxResources(
+  one: Resources | undefined,
+  other: Resources | undefined,
+): Resources | undefined {
   if (one === undefined || other === undefined) return one ?? other
   return create(ResourcesSchema, {
     cores: Math.max(one.cores, other.cores),
@@ -97,9 +100,9 @@
   })
 }
 
-function differMuch(
-  before: ReadonlyMap<string, Offer>,
-  after: ReadonlyMap<string, Offer>,
+function differSignificantly(
+  before: ReadonlyMap<string, SlotOffer>,
+  after: ReadonlyMap<string, SlotOffer>,
 ): boolean {
   if (before.size !== after.size) return true
   for (const [service, offer] of after) {
@@ -107,7 +110,8 @@
     if (old === undefined) return true
     if (old.slots !== offer.slots) return true
     if ((old.freeSlots === 0) !== (offer.freeSlots === 0)) return true
-    if (Math.abs(old.freeSlots - offer.freeSlots) > MUCH * Math.max(1, old.freeSlots)) return true
+    if (Math.abs(old.freeSlots - offer.freeSlots) > SIGNIFICANT_CHANGE * Math.max(1, old.freeSlots))
+      return true
   }
   return false
 }
--- a/packages/owner/src/lib/views/describeEndpoint.ts
+++ b/packages/owner/src/lib/views/describeEndpoint.ts
@@ -2,7 +2,7 @@
 import type { OwnerContext } from '../OwnerContext'
 import type { EndpointView } from './EndpointView'
 
-/** An endpoint as operators see it. @internal */
+/** Builds the operators' view of an endpoint. @internal */
 export function describeEndpoint(
   now: number,
   ctx: OwnerContext,
