--- a/packages/owner/src/lib/bench/measureOwner.ts
+++ b/packages/owner/src/lib/bench/measureOwner.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the owner's state machine alone: processor time per task from its placement to its
- * report, and memory per endpoint and per queued task.
+ * Measures the owner's state machine in isolation: time per task from placement to report, time per
+ * tick, and memory per endpoint and per queued task.
  *
  * Run: `node --expose-gc --import tsx packages/owner/src/lib/bench/measureOwner.ts`
  */
@@ -50,7 +50,7 @@
   healthRule: HealthRule.DECAYED_SCORE,
 }
 
-/** A machine with so many endpoints, and the requests that it has open. */
+/** A state machine with the given number of endpoints, and its open requests. */
 class Load {
   readonly machine: OwnerMachine
   readonly open: RunTaskAction[] = []
@@ -80,7 +80,7 @@
     this.take(this.machine.step(this.now, { kind: OwnerEventKind.Heartbeat, announcement }))
   }
 
-  /** Makes the message outside of what is measured: that is the link's work. */
+  /** Builds the message outside the measured section, as decoding is the link's work. */
   makePlacement(tasks: number): PlaceTasks {
     const payload = 'x'.repeat(PAYLOAD_LENGTH)
     return create(PlaceTasksSchema, {
@@ -104,7 +104,7 @@
     this.take(this.machine.step(this.now, event))
   }
 
-  /** The oldest open request succeeds. */
+  /** Ends the oldest open request with success. */
   endOne(): boolean {
     const run = this.open.shift()
     if (run === undefined) return false
@@ -129,7 +129,7 @@
   }
 }
 
-/** Microseconds per task with a backlog of so many tasks, 0 for a queue that is empty. */
+/** Microseconds per task with the given backlog of queued tasks; 0 for an empty queue. */
 function measureTasks(rules: Rules, endpoints: number, perJob: number, backlog: number): number {
   const load = new Load(rules, endpoints)
   while (load.machine.tasks < backlog) load.place(load.makePlacement(perJob))
@@ -144,7 +144,7 @@
   return Number(elapsedNs) / 1000 / TASKS
 }
 
-/** Microseconds of one tick with all slots busy. */
+/** Microseconds per tick with all slots busy. */
 function measureTick(endpoints: number): number {
   const load = new Load(full, endpoints)
   for (let n = 0; n < endpoints; n++) load.place(load.makePlacement(SLOTS + 1))
@@ -159,7 +159,7 @@
   return process.memoryUsage().heapUsed
 }
 
-/** Bytes of heap per endpoint, then per queued task with its message, jobs of so many tasks. */
+/** Heap bytes per endpoint and per queued task with its message, for jobs of the given size. */
 function measureMemory(perJob: number): { endpoint: number; task: number } {
   const endpoints = 1000
   const tasks = 120_000
@@ -175,7 +175,7 @@
 }
 
 function main(): void {
-  console.log('microseconds per task, place to report, one run each')
+  console.log('microseconds per task, from placement to report, one run each')
   for (const rules of [plain, full]) {
     for (const backlog of [0, 10_000]) {
       for (const endpoints of [10, 100, 1000]) {
