--- a/packages/rpc/src/index.ts
+++ b/packages/rpc/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Links between instances: one long stream each way with typed, batched envelopes.
+ * Links between instances: one long-lived stream in each direction that carries batches of typed
+ * envelopes.
  *
  * @packageDocumentation
  */
--- a/packages/rpc/src/lib/host/LinkCounters.ts
+++ b/packages/rpc/src/lib/host/LinkCounters.ts
@@ -1,26 +1,26 @@
-/** What the links of one instance have done since they were started. @public */
+/** Counters of the links of one instance since they were started. @public */
 export interface LinkCounters {
-  /** Envelopes handed to a connection, retransmissions not counted. */
+  /** Envelopes sent on a connection, not counting retransmissions. */
   sent: number
-  /** Envelopes handed to the receiver's handler. */
+  /** Envelopes received, including those to the instance itself. */
   received: number
   batchesSent: number
   batchesReceived: number
   /** Batches sent again over a new connection. */
   batchesResent: number
-  /** Batches that had been delivered before and were dropped by the receiver. */
+  /** Batches dropped by the receiver because they had already been delivered. */
   duplicateBatches: number
   /** Envelopes refused or dropped: unknown peer or full queue. */
   dropped: number
-  /** Envelopes dropped because a peer stayed unreachable for longer than the limit. */
+  /** Envelopes dropped because they waited for a peer for longer than `staleAfterMs`. */
   droppedStale: number
-  /** Envelopes given up because the process of the peer that may have taken them has ended. */
+  /** Envelopes dropped because an earlier process of the peer may have received them. */
   droppedInDoubt: number
   /** Envelopes refused because they exceed the size limit. */
   oversized: number
   /** Connections dialled after the first one to a peer. */
   reconnects: number
-  /** Connections found to accept writes without answering. */
+  /** Connections that accepted writes but returned no receipt in time. */
   silentConnections: number
   /** Streams refused because a newer process of the same instance was seen. */
   staleBoots: number
@@ -30,9 +30,9 @@
   failedSessions: number
   /** Envelopes whose handler threw. */
   handlerErrors: number
-  /** Envelopes with a message of a kind that this version doesn't know. */
+  /** Envelopes with a message type that this version doesn't know. */
   unknownMessages: number
-  /** Upper estimate of the bytes of the envelopes sent. */
+  /** Upper bound for the encoded size of the envelopes sent. */
   bytesSent: number
 }
 
--- a/packages/rpc/src/lib/host/LinkHost.ts
+++ b/packages/rpc/src/lib/host/LinkHost.ts
@@ -6,13 +6,13 @@
 import type { LinkPeer } from './LinkHostOptions'
 import type { SelfDelivery } from './startSelfDelivery'
 
-/** What every link of a host has in common. */
+/** Options that all links of a host share. */
 export type SharedLinkOptions = Omit<StartPeerLinkOptions, 'peer' | 'target' | 'firstSequence'>
 
 const DRAIN_POLL_MS = 5
 /**
- * Links are looked after this often at least, in milliseconds: what makes something due, such as a
- * batch that gets no receipt, takes longer than that to be so.
+ * Longest interval between ticks, in milliseconds. An event may start a timeout between two ticks,
+ * such as that for the receipt of a batch, but all of these timeouts are longer than the interval.
  */
 const MAX_TICK_MS = 200
 
@@ -23,30 +23,34 @@
 }
 
 /**
- * The links of one instance: one outgoing to each peer, and the listening socket.
+ * The links of one instance: one outgoing link to each peer, and the listening socket.
  *
- * Made by `startLinkHost`; it closes with the scope.
+ * Created by `startLinkHost`; it closes with the scope.
  *
  * @public
  */
 export class LinkHost {
   readonly #peers = new Map<string, PeerEntry>()
-  /** Receivers drop sequences that they have seen, so a peer that returns goes on counting. */
+  /**
+   * Next sequence of each removed peer. Receivers drop sequences that they have seen before, so the
+   * numbering must continue if the peer is added again.
+   */
   readonly #nextSequences = new Map<string, number>()
 
   /** @internal */
   constructor(
-    /** The port that is listened on. */
+    /** The listening port. */
     readonly port: number,
     private readonly shared: SharedLinkOptions,
     private readonly selfDelivery: SelfDelivery,
   ) {}
 
   /**
-   * Queues an envelope for an instance, itself included; never blocks.
+   * Queues an envelope for an instance, which may be this one. Never blocks.
    *
-   * @returns false when it was dropped, and counted: no such peer, full queue, too large. True
-   * is no promise of delivery: a peer that stays unreachable loses its oldest envelopes.
+   * @returns false if the envelope was dropped, which is counted: unknown peer, full queue or
+   * envelope too large. True does not guarantee delivery: the oldest envelopes for a peer that
+   * stays unreachable are dropped.
    */
   send(to: string, envelope: Envelope): boolean {
     if (to === this.shared.instance) return this.selfDelivery(envelope)
@@ -56,7 +60,7 @@
     return false
   }
 
-  /** Replaces the list of peers. Links to peers that stay are not touched. */
+  /** Replaces the list of peers. Links to peers whose address is unchanged are kept. */
   setPeers(peers: readonly LinkPeer[]): void {
     const wanted = new Map(peers.map((peer) => [peer.instance, peer]))
     wanted.delete(this.shared.instance)
@@ -69,10 +73,10 @@
   }
 
   /**
-   * Lets all links look after their connections. One timer serves all, so that an instance with many
-   * peers doesn't wake up for each of them.
+   * Ticks all links. A single timer serves them all, so that an instance with many peers doesn't
+   * wake up for each of them.
    *
-   * @returns after how many milliseconds to call it again
+   * @returns the delay until the next call, in milliseconds
    * @internal
    */
   tick(): number {
@@ -85,7 +89,7 @@
     return Math.max(this.shared.tickMs, dueAt - now)
   }
 
-  /** Smoothed round trip of a batch and its receipt, in milliseconds; 0 when not known. */
+  /** Smoothed time from sending a batch to its receipt, in milliseconds; 0 if unknown. */
   roundTripMs(peer: string): number {
     return this.#peers.get(peer)?.link.roundTripMs() ?? 0
   }
@@ -94,14 +98,18 @@
     return this.#peers.get(peer)?.link.isUp() ?? false
   }
 
-  /** Envelopes, over all peers, whose receipt has not come. */
+  /** Number of envelopes for all peers that are waiting or have no receipt yet. */
   outstanding(): number {
     let total = 0
     for (const { link } of this.#peers.values()) total += link.outstanding()
     return total
   }
 
-  /** Waits until all receipts came, or the limit passed; says which. For a graceful shutdown. */
+  /**
+   * Waits until no envelopes are outstanding or the limit has passed. For a graceful shutdown.
+   *
+   * @returns false if the limit has passed
+   */
   drain(limitMs: number): Effect.Effect<boolean> {
     const isEmpty = Effect.sync(() => this.outstanding() === 0)
     const wait = Effect.repeat(isEmpty, {
@@ -111,7 +119,7 @@
     return Effect.map(Effect.timeoutOption(wait, limitMs), Option.isSome)
   }
 
-  /** A copy of the present counts. */
+  /** A copy of the current counters. */
   counters(): LinkCounters {
     return { ...this.shared.counters }
   }
@@ -123,7 +131,7 @@
     const start = startPeerLink({ ...this.shared, peer, target, firstSequence })
     const link = Effect.runSync(Scope.provide(start, scope))
     this.#peers.set(peer, { target, link, scope })
-    // Dials at once.
+    // Dials immediately instead of at the next tick.
     link.tick()
   }
 
--- a/packages/rpc/src/lib/host/LinkHostOptions.ts
+++ b/packages/rpc/src/lib/host/LinkHostOptions.ts
@@ -1,14 +1,14 @@
 import type { Envelope } from '@cherryhitch/protocol'
 import type { Clock } from '@cherryhitch/runtime'
 
-/** Where another instance listens. @public */
+/** The link address of another instance. @public */
 export interface LinkPeer {
   readonly instance: string
   readonly host: string
   readonly port: number
 }
 
-/** Certificates in PEM. With `ca`, both ends must show a certificate signed by it. @public */
+/** Certificates in PEM. With `ca`, both ends must present a certificate signed by it. @public */
 export interface LinkTls {
   readonly key: string
   readonly cert: string
@@ -17,44 +17,45 @@
 
 /** Limits and times of links; all times in milliseconds. @public */
 export interface LinkTuning {
-  /** A connection that owes an answer for longer than this is probed by a new one. */
+  /** If a receipt is missing for this long, the peer is probed on a new connection. */
   readonly silentAfterMs: number
-  /** How long a new connection may take to answer. */
+  /** How long the first receipt on a new connection may take. */
   readonly probeTimeoutMs: number
-  /** An idle connection is asked for an answer at this pace. */
+  /** Interval at which an empty batch is sent on an idle connection to request a receipt. */
   readonly keepAliveMs: number
-  /** Shortest wait between two dials of an unreachable peer. */
+  /** Shortest delay between two dials of an unreachable peer. */
   readonly reconnectMinMs: number
   readonly reconnectMaxMs: number
-  /** Envelopes that wait longer than this for an unreachable peer are dropped. */
+  /** Envelopes for an unreachable peer that wait for longer than this are dropped. */
   readonly staleAfterMs: number
-  /** Envelopes kept for a peer, those without a receipt included. */
+  /** Envelopes kept for a peer, including those sent without a receipt. */
   readonly maxQueuedEnvelopes: number
-  /** Upper estimate of the bytes kept for a peer. */
+  /** Estimated size of the envelopes kept for a peer; the estimate is an upper bound. */
   readonly maxQueuedBytes: number
   readonly maxBatchEnvelopes: number
-  /** A batch is closed once its estimate reaches this many bytes. */
+  /** A batch is closed once its estimated size reaches this many bytes. */
   readonly maxBatchBytes: number
   /** Larger envelopes are refused by the sender. */
   readonly maxEnvelopeBytes: number
-  /** Batches on their way without a receipt; what comes after waits and travels together. */
+  /** Batches in flight without a receipt; later envelopes wait and are batched together. */
   readonly maxBatchesInFlight: number
   /**
-   * The receiver answers a batch at once after a pause of this long, and what comes meanwhile with
-   * one receipt; 0 answers each by itself.
+   * Minimum interval between receipts on a stream. After a pause of this length, a batch gets a
+   * receipt at once; batches that arrive during the interval share one receipt at its end. With 0,
+   * each batch gets its own receipt.
    */
   readonly receiptGapMs: number
-  /** Senders remembered by the receiver. */
+  /** Maximum number of senders tracked by the receiver. */
   readonly maxSenders: number
-  /** The receiver closes connections that carry nothing for this long. */
+  /** The receiver closes connections that are idle for this long. */
   readonly idleSessionMs: number
-  /** Pace at which timeouts are checked. */
+  /** Shortest interval at which timeouts are checked. */
   readonly tickMs: number
 }
 
 /**
- * Detection takes at most `keepAliveMs + silentAfterMs + tickMs`, and `probeTimeoutMs` more until
- * a peer counts as down.
+ * A silent connection is detected within `keepAliveMs + silentAfterMs + tickMs`; the peer counts as
+ * down at most `probeTimeoutMs` later.
  *
  * @public
  */
@@ -77,29 +78,29 @@
   tickMs: 50,
 }
 
-/** What a link host tells its instance. Handlers are called one at a time and must not block. @public */
+/** Callbacks of a link host. They are called one at a time and must not block. @public */
 export interface LinkHandlers {
-  /** One envelope, in the order in which the sender sent it, and at most once. */
+  /** Called at most once for each envelope, in the order in which the sender sent them. */
   readonly onEnvelope: (from: string, boot: number, envelope: Envelope) => void
   readonly onLinkUp: (peer: string, roundTripMs: number) => void
-  /** The peer answered neither on the old connection nor on a new one. */
+  /** The peer sent no receipt on the old connection, and a new connection failed as well. */
   readonly onLinkDown: (peer: string) => void
-  /** A process that was replaced by a newer one of the same name tried to send. */
+  /** A process tried to send although a newer process of the same instance has connected. */
   readonly onStaleBoot?: (from: string, boot: number) => void
-  /** One short line for the log, without prefix. */
+  /** Takes one short log line without a prefix. */
   readonly log: (line: string) => void
 }
 
 /** @public */
 export interface LinkHostOptions extends LinkHandlers, Partial<LinkTuning> {
   readonly instance: string
-  /** Boot number of this process: higher than that of every earlier process of the instance. */
+  /** Boot number of this process, higher than that of any earlier process of the instance. */
   readonly boot: number
   /** Port 0 lets the system pick one. */
   readonly listen: { readonly host: string; readonly port: number }
-  /** The other instances; an entry of the instance's own name is ignored. */
+  /** The other instances; an element with the instance's own name is ignored. */
   readonly peers: readonly LinkPeer[]
-  /** Bearer token that is sent, and asked of every sender. */
+  /** Bearer token that is sent to peers and required from every sender. */
   readonly token?: string
   readonly tls?: LinkTls
   readonly clock?: Clock
--- a/packages/rpc/src/lib/host/deliverEnvelope.test.ts
+++ b/packages/rpc/src/lib/host/deliverEnvelope.test.ts
@@ -6,7 +6,7 @@
 import { deliverEnvelope } from './deliverEnvelope'
 import { newLinkCounters } from './LinkCounters'
 
-/** An envelope whose message has a number that no version uses: field 2047, three bytes long. */
+/** An encoded envelope with a message in field 2047, which no version uses, of three bytes. */
 const UNKNOWN_MESSAGE = Uint8Array.from([0xfa, 0x7f, 3, 1, 2, 3])
 
 function deliver(message: Envelope) {
@@ -25,19 +25,19 @@
   return { counters, handled }
 }
 
-describe('an envelope of another version', () => {
-  it('is counted and left when its message is not known', () => {
+describe('deliverEnvelope', () => {
+  it('counts and drops an envelope with an unknown message type', () => {
     const { counters, handled } = deliver(fromBinary(EnvelopeSchema, UNKNOWN_MESSAGE))
     assert.equal(counters.unknownMessages, 1)
     assert.equal(counters.handlerErrors, 0)
     assert.deepEqual(handled, [])
   })
 
-  it('is counted and left when it is empty', () => {
+  it('counts and drops an empty envelope', () => {
     assert.equal(deliver(create(EnvelopeSchema)).counters.unknownMessages, 1)
   })
 
-  it('is handed over when its message is known', () => {
+  it('delivers an envelope with a known message type', () => {
     const message = envelope({ case: 'abandonJob', value: { requestId: 'r' } })
     const { counters, handled } = deliver(message)
     assert.equal(counters.unknownMessages, 0)
--- a/packages/rpc/src/lib/host/deliverEnvelope.ts
+++ b/packages/rpc/src/lib/host/deliverEnvelope.ts
@@ -3,13 +3,13 @@
 import type { LinkCounters } from './LinkCounters'
 import type { LinkHandlers } from './LinkHostOptions'
 
-/** What handing an envelope over needs. */
+/** Options for the delivery of envelopes. */
 export interface DeliveryOptions {
   readonly handlers: LinkHandlers
   readonly counters: LinkCounters
 }
 
-/** Hands one envelope to the instance; a handler that throws harms only this one. */
+/** Passes one envelope to the instance's handler. An error of the handler is logged and counted. */
 export function deliverEnvelope(
   { handlers, counters }: DeliveryOptions,
   from: string,
@@ -18,19 +18,19 @@
 ): void {
   counters.received += 1
   if (envelope.body.case === undefined) {
-    // An instance of another version sends messages that this one doesn't know.
+    // An instance of another version may send message types that this version doesn't know.
     counters.unknownMessages += 1
     return
   }
   try {
-    handlers.onEnvelope(from, boot, unpack(envelope))
+    handlers.onEnvelope(from, boot, decodeBody(envelope))
   } catch (err) {
     counters.handlerErrors += 1
-    handlers.log(`handler of ${envelope.body.case} failed: ${String(err)}`)
+    handlers.log(`message handler for ${envelope.body.case} failed: ${String(err)}`)
   }
 }
 
-function unpack(envelope: Envelope): Envelope {
+function decodeBody(envelope: Envelope): Envelope {
   const { body } = envelope
   return body.case === 'text' ? wrapMessage(decodeText(body.value)) : envelope
 }
--- a/packages/rpc/src/lib/host/startLinkHost.test.ts
+++ b/packages/rpc/src/lib/host/startLinkHost.test.ts
@@ -2,13 +2,13 @@
 import net from 'node:net'
 import { afterEach, describe, it } from 'node:test'
 import { Effect } from 'effect'
-import { PassThrough } from '../fixtures/PassThrough'
+import { FaultProxy } from '../fixtures/FaultProxy'
 import { testTls } from '../fixtures/testTls'
 import { numbered, range, TestInstance, until } from '../fixtures/TestInstance'
 import type { LinkHostOptions } from './LinkHostOptions'
 
-/** Fast enough for tests; the proportions are those of the defaults. */
-const quick = {
+/** Short timeouts for tests, in the proportions of the defaults. */
+const fastTuning = {
   silentAfterMs: 150,
   probeTimeoutMs: 100,
   keepAliveMs: 40,
@@ -20,21 +20,21 @@
 const cleanups: (() => unknown)[] = []
 
 async function start(name: string, options: Partial<LinkHostOptions> = {}): Promise<TestInstance> {
-  const instance = await TestInstance.start(name, { ...quick, ...options })
+  const instance = await TestInstance.start(name, { ...fastTuning, ...options })
   cleanups.push(() => instance.close())
   return instance
 }
 
-/** Two instances; `a` dials `b` through a pass-through. */
+/** Two instances; `a` dials `b` through a proxy. */
 async function startPair(options: Partial<LinkHostOptions> = {}) {
   const a = await start('a', options)
   const b = await start('b')
-  const between = await PassThrough.start(b.host.port)
+  const proxy = await FaultProxy.start(b.host.port)
   cleanups.push(() => {
-    between.close()
+    proxy.close()
   })
-  a.dial('b', between.port)
-  return { a, b, between }
+  a.dial('b', proxy.port)
+  return { a, b, proxy }
 }
 
 afterEach(async () => {
@@ -42,7 +42,7 @@
 })
 
 describe('a link between two instances', { timeout: 30_000 }, () => {
-  it('delivers in order and once, in few batches', async () => {
+  it('delivers messages in order and once, in few batches', async () => {
     const { a, b } = await startPair()
     assert.equal(a.sendNumbers('b', 1, 5000), 5000)
     await until('all arrived', () => b.numbers.length >= 5000)
@@ -53,12 +53,12 @@
     assert.deepEqual(a.changes, ['up b'])
   })
 
-  it('replaces a silent connection without the peer going down, and loses nothing', async () => {
-    const { a, b, between } = await startPair()
+  it('replaces a silent connection without loss or reporting the peer as down', async () => {
+    const { a, b, proxy } = await startPair()
     await until('up', () => a.host.isUp('b'))
     a.sendNumbers('b', 1, 100)
     await until('first part arrived', () => b.numbers.length === 100)
-    between.silenceOpen()
+    proxy.silenceOpen()
     a.sendNumbers('b', 101, 200)
     await until('second part arrived', () => b.numbers.length >= 200)
     a.sendNumbers('b', 201, 300)
@@ -68,61 +68,61 @@
     assert.deepEqual(a.changes, ['up b'])
   })
 
-  it('finds an idle connection that went silent', async () => {
-    const { a, between } = await startPair()
+  it('detects an idle connection that went silent', async () => {
+    const { a, proxy } = await startPair()
     await until('up', () => a.host.isUp('b'))
-    between.silenceOpen()
-    await until('replaced', () => a.lines.includes('b: silent connection replaced'))
+    proxy.silenceOpen()
+    await until('replaced', () => a.logLines.includes('b: silent connection replaced'))
     assert.deepEqual(a.changes, ['up b'])
   })
 
-  it('resends after resets in the middle of a load, once each', async () => {
-    // On a busy machine five connections take longer than messages wait by default.
-    const { a, b, between } = await startPair({ maxBatchEnvelopes: 10, staleAfterMs: 60_000 })
+  it('resends after connection resets under load, without duplicates', async () => {
+    // On a busy machine, five reconnects can take longer than the `staleAfterMs` of `fastTuning`.
+    const { a, b, proxy } = await startPair({ maxBatchEnvelopes: 10, staleAfterMs: 60_000 })
     await until('up', () => a.host.isUp('b'))
     for (let part = 0; part < 5; part++) {
       a.sendNumbers('b', part * 400 + 1, part * 400 + 400)
       await until('some arrived', () => b.numbers.length > part * 400 + 50)
-      between.resetOpen()
+      proxy.resetOpen()
     }
     await until('all arrived', () => b.numbers.length >= 2000)
     assert.deepEqual(b.numbers, range(1, 2000))
     assert.ok(a.host.counters().reconnects >= 1)
   })
 
-  it('reports a peer that answers on no connection, and sends no old messages after it mends', async () => {
-    const { a, b, between } = await startPair()
+  it('reports an unreachable peer as down, and drops stale messages', async () => {
+    const { a, b, proxy } = await startPair()
     await until('up', () => a.host.isUp('b'))
-    between.silenceNew(true)
-    between.silenceOpen()
+    proxy.silenceNew(true)
+    proxy.silenceOpen()
     a.sendNumbers('b', 1, 50)
     await until('down', () => a.changes.includes('down b'))
-    await until('the old ones were given up', () => a.host.counters().droppedStale === 50)
+    await until('the old ones were dropped', () => a.host.counters().droppedStale === 50)
     a.sendNumbers('b', 51, 60)
-    between.silenceNew(false)
+    proxy.silenceNew(false)
     await until('new ones arrived', () => b.numbers.length >= 10)
     assert.deepEqual(b.numbers, range(51, 60))
     assert.deepEqual(a.changes, ['up b', 'down b', 'up b'])
   })
 
-  it('does not resend to the next process of a peer what an earlier one may have taken', async () => {
+  it('does not resend what an earlier process of the peer may have received', async () => {
     const a = await start('a', { staleAfterMs: 60_000 })
     const first = await start('b')
-    const between = await PassThrough.start(first.host.port)
+    const proxy = await FaultProxy.start(first.host.port)
     cleanups.push(() => {
-      between.close()
+      proxy.close()
     })
-    a.dial('b', between.port)
+    a.dial('b', proxy.port)
     await until('up', () => a.host.isUp('b'))
-    // The first process takes the message, and its receipt is lost with it.
-    between.silenceAnswers()
+    // The first process receives the message, but its receipt is lost.
+    proxy.silenceResponses()
     a.sendNumbers('b', 1, 1)
     await until('taken', () => first.numbers.length === 1)
     const next = await start('b', { boot: 2 })
-    between.leadTo(next.host.port)
-    between.resetOpen()
+    proxy.setTarget(next.host.port)
+    proxy.resetOpen()
     await until('the next process is reached', () =>
-      a.lines.some((line) => line.includes('boot 2')),
+      a.logLines.some((line) => line.includes('boot 2')),
     )
     a.sendNumbers('b', 2, 2)
     await until('the next message arrived', () => next.numbers.includes(2))
@@ -141,7 +141,7 @@
     assert.deepEqual(b.numbers, range(26, 30))
   })
 
-  it('refuses more than its queue holds while the peer is up', async () => {
+  it('refuses messages beyond its queue limit while the peer is up', async () => {
     const { a, b } = await startPair({ maxQueuedEnvelopes: 100 })
     await until('up', () => a.host.isUp('b'))
     assert.equal(a.sendNumbers('b', 1, 150), 100)
@@ -150,7 +150,7 @@
     assert.deepEqual(b.numbers, range(1, 100))
   })
 
-  it('goes on to a peer that restarts with a new boot', async () => {
+  it('reconnects to a peer that restarts with a new boot number', async () => {
     const { a, b } = await startPair()
     a.sendNumbers('b', 1, 10)
     await until('arrived', () => b.numbers.length === 10 && a.host.outstanding() === 0)
@@ -164,34 +164,34 @@
     assert.deepEqual(next.numbers, range(11, 20))
   })
 
-  it('goes on counting when a peer is removed and comes back', async () => {
-    const { a, b, between } = await startPair()
+  it('continues its sequence numbers when a peer is removed and added again', async () => {
+    const { a, b, proxy } = await startPair()
     a.sendNumbers('b', 1, 10)
     await until('arrived', () => b.numbers.length === 10)
     a.host.setPeers([])
     assert.equal(a.host.send('b', numbered(11)), false)
-    a.dial('b', between.port)
+    a.dial('b', proxy.port)
     a.sendNumbers('b', 12, 20)
     await until('arrived', () => b.numbers.length >= 19)
     assert.deepEqual(b.numbers, [...range(1, 10), ...range(12, 20)])
   })
 
-  it('outlives handlers that throw when a peer comes and goes', async () => {
+  it('survives link state handlers that throw', async () => {
     const fail = (): void => {
       throw new Error('defect')
     }
-    const { a, b, between } = await startPair({ onLinkUp: fail, onLinkDown: fail })
+    const { a, b, proxy } = await startPair({ onLinkUp: fail, onLinkDown: fail })
     await until('up', () => a.host.isUp('b'))
-    between.silenceNew(true)
-    between.resetOpen()
+    proxy.silenceNew(true)
+    proxy.resetOpen()
     await until('down', () => !a.host.isUp('b'))
-    between.silenceNew(false)
+    proxy.silenceNew(false)
     a.sendNumbers('b', 1, 5)
     await until('arrived', () => b.numbers.length >= 5)
     assert.ok(a.host.counters().handlerErrors >= 3)
   })
 
-  it('delivers to itself, but not before send returns', async () => {
+  it('delivers messages to itself, but not before send returns', async () => {
     const a = await start('a')
     assert.equal(a.sendNumbers('a', 1, 3), 3)
     assert.deepEqual(a.numbers, [])
@@ -201,7 +201,7 @@
 })
 
 describe('a link with certificates', { timeout: 30_000 }, () => {
-  it('carries messages between instances that show the same authority', async () => {
+  it('carries messages between instances with certificates of the same authority', async () => {
     const b = await start('b', { tls: testTls })
     const a = await start('a', { tls: testTls })
     a.dial('b', b.host.port)
@@ -210,7 +210,7 @@
     assert.deepEqual(b.numbers, range(1, 5))
   })
 
-  it('refuses an instance without a certificate, and tells that it could not drain', async () => {
+  it('refuses an instance without a certificate, whose drain then reports a failure', async () => {
     const b = await start('b', { tls: testTls })
     const plain = await start('c')
     plain.dial('b', b.host.port)
@@ -221,11 +221,11 @@
 })
 
 describe('a receiver', { timeout: 30_000 }, () => {
-  it('keeps the stream when a handler throws', async () => {
+  it('keeps the stream open when a handler throws', async () => {
     const { a, b } = await startPair()
-    const take = b.onEnvelope
+    const record = b.onEnvelope
     b.onEnvelope = (received) => {
-      take(received)
+      record(received)
       if (b.numbers.length === 2) throw new Error('defect')
     }
     a.sendNumbers('b', 1, 5)
@@ -281,7 +281,7 @@
       const socket = net.connect({ host: '127.0.0.1', port: b.host.port })
       socket.on('error', () => undefined)
       const closed = new Promise((resolve) => socket.once('close', resolve))
-      // Without a reader the socket never sees that the other end closed it.
+      // Without a reader, the socket never detects that the other end closed it.
       socket.resume()
       socket.write(bytes)
       await closed
@@ -291,7 +291,7 @@
     })
   }
 
-  it('never gets an envelope above the limit, and those after it arrive', async () => {
+  it('gets no envelope above the size limit, but those after it', async () => {
     const { a, b } = await startPair({ maxEnvelopeBytes: 200 })
     const large = numbered(1)
     if (large.body.case === 'jobQuery') large.body.value.jobId = 'x'.repeat(300)
@@ -301,7 +301,7 @@
     assert.equal(a.host.counters().oversized, 1)
   })
 
-  it('ends a stream whose batch is above its own limit, and only this one', async () => {
+  it('ends a stream with a batch above its own size limit, but no other stream', async () => {
     const b = await start('b', { maxEnvelopeBytes: 100, maxBatchBytes: 100 })
     const a = await start('a', { staleAfterMs: 100 })
     const c = await start('c')
@@ -311,7 +311,7 @@
     a.sendNumbers('b', 1, 1000)
     c.sendNumbers('b', 1001, 1003)
     await until('the others arrived', () => b.numbers.length >= 3)
-    await until('the batch was given up', () => a.host.outstanding() === 0)
+    await until('the batch was dropped', () => a.host.outstanding() === 0)
     a.sendNumbers('b', 1004, 1004)
     await until('later ones arrived', () => b.numbers.length >= 4)
     assert.deepEqual(b.numbers, range(1001, 1004))
--- a/packages/rpc/src/lib/host/startLinkHost.ts
+++ b/packages/rpc/src/lib/host/startLinkHost.ts
@@ -12,9 +12,9 @@
 import { startSelfDelivery } from './startSelfDelivery'
 
 /**
- * Listens for the other instances, and dials each of them.
+ * Listens for other instances and dials each of them.
  *
- * Fails with a `LinkError` when the socket can't be opened or the instance's name is invalid.
+ * Fails with a `LinkError` if the socket can't be opened or the instance name is invalid.
  *
  * @public
  */
--- a/packages/rpc/src/lib/host/startSelfDelivery.ts
+++ b/packages/rpc/src/lib/host/startSelfDelivery.ts
@@ -5,7 +5,7 @@
 import { deliverEnvelope } from './deliverEnvelope'
 import type { DeliveryOptions } from './deliverEnvelope'
 
-/** Queues an envelope for the sender itself; false when the queue is full. */
+/** Queues an envelope for the instance itself; returns false if the queue is full. */
 export type SelfDelivery = (envelope: Envelope) => boolean
 
 /** @internal */
@@ -16,8 +16,8 @@
 }
 
 /**
- * Messages of an instance to itself skip the network, but not the queue: the sender's call
- * returns before the handler runs, as with any other peer.
+ * Starts the delivery of messages from an instance to itself. They skip the network but are queued,
+ * so that `send` returns before the handler runs, as for any other peer.
  *
  * @internal
  */
@@ -29,7 +29,7 @@
     for (const envelope of envelopes) deliverEnvelope(options, instance, boot, envelope)
   }
   const onDefect = (defect: unknown): void => {
-    handlers.log(`the delivery to itself ended by a defect: ${String(defect)}`)
+    handlers.log(`self-delivery stopped after an unexpected error: ${String(defect)}`)
   }
   return Effect.map(startMailbox({ take, onDefect }), (mailbox) => (envelope) => {
     if (mailbox.backlog() >= maxQueuedEnvelopes) {
--- a/packages/rpc/src/lib/measure/otherWays.ts
+++ b/packages/rpc/src/lib/measure/alternativeTransports.ts
@@ -6,19 +6,19 @@
 import { createClient } from '@connectrpc/connect'
 import type { ConnectRouter } from '@connectrpc/connect'
 import { connectNodeAdapter, createConnectTransport } from '@connectrpc/connect-node'
-import { BatchFeed } from '../feed/BatchFeed'
+import { AsyncQueue } from '../queue/AsyncQueue'
 
-/** A way to send one envelope to a peer and to wait for the peer's answer to it. */
-export interface Way {
+/** A transport that sends one envelope to a peer and waits for its reply. */
+export interface MessageTransport {
   readonly name: string
   readonly request: (id: string, message: Envelope) => Promise<void>
   readonly close: () => Promise<void>
 }
 
 const exchange = LinkService.method.exchange
-/** The link's method, but with one message each way. */
+/** The method of the link service as a unary call. */
 const unaryMethod = { ...exchange, methodKind: 'unary' as const }
-/** The link's method, but with envelopes both ways. */
+/** The method of the link service with envelopes in both directions. */
 const sharedMethod = { ...exchange, output: EnvelopeBatchSchema }
 
 async function serve(routes: (router: ConnectRouter) => void) {
@@ -44,8 +44,8 @@
   return create(EnvelopeBatchSchema, { from: 'a', fromBoot: 1, sequence: 1, envelopes })
 }
 
-/** A call for each envelope; its response is the answer. */
-export async function startUnary(): Promise<Way> {
+/** Makes a unary call for each envelope; the response is the reply. */
+export async function startUnaryTransport(): Promise<MessageTransport> {
   const service = { ...LinkService, methods: [unaryMethod], method: { exchange: unaryMethod } }
   const { transport, close } = await serve((router) => {
     router.rpc(unaryMethod, (batch) => create(BatchReceiptSchema, { sequence: batch.sequence }))
@@ -63,22 +63,22 @@
   }
 }
 
-/** One stream that both ends write batches to; no receipts, sequences or limits. */
-export async function startSharedStream(): Promise<Way> {
+/** Uses one bidirectional stream of batches, without receipts, sequences or limits. */
+export async function startSharedStreamTransport(): Promise<MessageTransport> {
   const service = { ...LinkService, methods: [sharedMethod], method: { exchange: sharedMethod } }
   const { transport, close } = await serve((router) => {
     router.rpc(sharedMethod, async function* (batches) {
       for await (const batch of batches) yield batchOf(batch.envelopes)
     })
   })
-  const feed = new BatchFeed<EnvelopeBatch>()
+  const queue = new AsyncQueue<EnvelopeBatch>()
   const waiting: (() => void)[] = []
   let ready: Envelope[] = []
   const flush = (): void => {
-    feed.push(batchOf(ready))
+    queue.push(batchOf(ready))
     ready = []
   }
-  const answers = createClient(service, transport).exchange(feed)
+  const answers = createClient(service, transport).exchange(queue)
   const reading = readAnswers(answers, waiting)
   return {
     name: 'one shared stream',
@@ -88,14 +88,14 @@
         if (ready.push(message) === 1) queueMicrotask(flush)
       }),
     close: async () => {
-      feed.end()
+      queue.end()
       await reading
       close()
     },
   }
 }
 
-/** Answers come in the order of the requests. */
+/** Resolves requests in order: replies arrive in the order of the requests. */
 async function readAnswers(
   answers: AsyncIterable<EnvelopeBatch>,
   waiting: (() => void)[],
--- a/packages/rpc/src/lib/measure/measureLinks.ts
+++ b/packages/rpc/src/lib/measure/measureLinks.ts
@@ -1,13 +1,13 @@
 /**
- * Measures links on loopback, both ends in this process:
+ * Measures links on loopback, with both ends in this process:
  * `npx tsx packages/rpc/src/lib/measure/measureLinks.ts`
  */
 import { envelope } from '@cherryhitch/protocol'
 import type { Envelope } from '@cherryhitch/protocol'
-import { PassThrough } from '../fixtures/PassThrough'
+import { FaultProxy } from '../fixtures/FaultProxy'
 import { TestInstance, until } from '../fixtures/TestInstance'
-import { startSharedStream, startUnary } from './otherWays'
-import type { Way } from './otherWays'
+import { startSharedStreamTransport, startUnaryTransport } from './alternativeTransports'
+import type { MessageTransport } from './alternativeTransports'
 
 const ROUND_TRIPS = 20_000
 const WARM_UP = 2000
@@ -17,7 +17,7 @@
 const US_PER_MS = 1000
 const PAYLOAD = 'x'.repeat(200)
 
-/** An envelope as owners send them: one report of a task with 200 bytes of output. */
+/** A typical envelope: the report of one task with 200 bytes of output. */
 function reportFor(id: string): Envelope {
   const jobs = [{ jobId: id, reports: [{ output: PAYLOAD }] }]
   return envelope({ case: 'taskReports', value: { jobs } })
@@ -27,13 +27,13 @@
   return message.body.case === 'taskReports' ? (message.body.value.jobs[0]?.jobId ?? '') : ''
 }
 
-/** The links themselves: a stream each way, with receipts, sequences and limits. */
-async function startLinks(): Promise<Way> {
+/** Uses links: a stream in each direction, with receipts, sequences and limits. */
+async function startLinkTransport(): Promise<MessageTransport> {
   const a = await TestInstance.start('a', { log: () => undefined })
   const b = await TestInstance.start('b', { log: () => undefined })
-  const waiting = new Map<string, () => void>()
+  const pending = new Map<string, () => void>()
   b.onEnvelope = (message) => b.host.send('a', message)
-  a.onEnvelope = (message) => waiting.get(idOf(message))?.()
+  a.onEnvelope = (message) => pending.get(idOf(message))?.()
   a.dial('b', b.host.port)
   b.dial('a', a.host.port)
   await until('both are up', () => a.host.isUp('b') && b.host.isUp('a'))
@@ -41,8 +41,8 @@
     name: 'one stream each way (links)',
     request: (id, message) =>
       new Promise((resolve) => {
-        waiting.set(id, () => {
-          waiting.delete(id)
+        pending.set(id, () => {
+          pending.delete(id)
           resolve()
         })
         a.host.send('b', message)
@@ -54,14 +54,18 @@
   }
 }
 
-async function runRoundTrips(way: Way, total: number, inFlight: number): Promise<number[]> {
+async function runRoundTrips(
+  transport: MessageTransport,
+  total: number,
+  inFlight: number,
+): Promise<number[]> {
   const times: number[] = []
   let next = 0
   const runOne = async (): Promise<void> => {
     while (next < total) {
       const id = String(next++)
       const startedAt = performance.now()
-      await way.request(id, reportFor(id))
+      await transport.request(id, reportFor(id))
       times.push(performance.now() - startedAt)
     }
   }
@@ -73,26 +77,26 @@
   return (sorted[Math.floor(sorted.length * q)] ?? NaN).toFixed(2)
 }
 
-async function measureWay(start: () => Promise<Way>): Promise<void> {
-  const way = await start()
-  await runRoundTrips(way, WARM_UP, 32)
+async function measureRoundTrips(start: () => Promise<MessageTransport>): Promise<void> {
+  const transport = await start()
+  await runRoundTrips(transport, WARM_UP, 32)
   for (const inFlight of [1, 32]) {
     const total = inFlight === 1 ? ROUND_TRIPS / 4 : ROUND_TRIPS
     const cpu = process.cpuUsage()
     const startedAt = performance.now()
-    const times = await runRoundTrips(way, total, inFlight)
+    const times = await runRoundTrips(transport, total, inFlight)
     const seconds = (performance.now() - startedAt) / 1000
     const { user, system } = process.cpuUsage(cpu)
     console.log(
-      `${way.name}, ${inFlight} in flight: ${Math.round(total / seconds)} round trips/s, ` +
+      `${transport.name}, ${inFlight} in flight: ${Math.round(total / seconds)} round trips/s, ` +
         `${((user + system) / total).toFixed(0)} us cpu each, ` +
         `p50 ${quantile(times, 0.5)} ms, p99 ${quantile(times, 0.99)} ms`,
     )
   }
-  await way.close()
+  await transport.close()
 }
 
-/** Sends in chunks, as fast as the queue lets it. */
+/** Sends in chunks, as fast as the queue accepts them. */
 async function measureOneWay(maxBatchesInFlight: number): Promise<void> {
   const a = await TestInstance.start('a', { maxBatchesInFlight })
   const b = await TestInstance.start('b')
@@ -139,51 +143,51 @@
   await b.close()
 }
 
-/** Time from the silence to the replaced connection, or to the report of a lost peer. */
+/** Measures the time from silence to the replaced connection, or to the report of a lost peer. */
 async function measureSilence(isPeerLost: boolean): Promise<void> {
   const times: number[] = []
   for (let trial = 0; trial < SILENCE_TRIALS; trial++) {
     const a = await TestInstance.start('a')
     const b = await TestInstance.start('b')
-    const between = await PassThrough.start(b.host.port)
-    a.dial('b', between.port)
+    const proxy = await FaultProxy.start(b.host.port)
+    a.dial('b', proxy.port)
     await until('up', () => a.host.isUp('b'))
     await new Promise((resolve) => setTimeout(resolve, trial * 37))
     const startedAt = performance.now()
-    between.silenceNew(isPeerLost)
-    between.silenceOpen()
-    const isFound = isPeerLost
+    proxy.silenceNew(isPeerLost)
+    proxy.silenceOpen()
+    const isDetected = isPeerLost
       ? () => a.changes.includes('down b')
-      : () => a.lines.includes('b: silent connection replaced')
-    await until('found', isFound)
+      : () => a.logLines.includes('b: silent connection replaced')
+    await until('found', isDetected)
     times.push(performance.now() - startedAt)
-    between.close()
+    proxy.close()
     await a.close()
     await b.close()
   }
   times.sort((x, y) => x - y)
-  const what = isPeerLost ? 'peer reported as down' : 'connection replaced'
-  console.log(`${what}: p50 ${quantile(times, 0.5)} ms, worst ${quantile(times, 0.999)} ms`)
+  const label = isPeerLost ? 'peer reported as down' : 'connection replaced'
+  console.log(`${label}: p50 ${quantile(times, 0.5)} ms, worst ${quantile(times, 0.999)} ms`)
 }
 
-/** Heap after long use: the stream must not keep what it has carried. */
+/** Measures the heap after long use: a stream must not retain the messages it has carried. */
 async function measureHeap(): Promise<void> {
-  const way = await startLinks()
-  await runRoundTrips(way, ROUND_TRIPS, 32)
+  const transport = await startLinkTransport()
+  await runRoundTrips(transport, ROUND_TRIPS, 32)
   const heaps: string[] = []
   for (let round = 0; round < 4; round++) {
-    await runRoundTrips(way, ROUND_TRIPS * 2, 4)
+    await runRoundTrips(transport, ROUND_TRIPS * 2, 4)
     globalThis.gc?.()
     heaps.push((process.memoryUsage().heapUsed / 2 ** 20).toFixed(1))
   }
   console.log(`heap after each ${ROUND_TRIPS * 2} round trips: ${heaps.join(', ')} MB`)
-  await way.close()
+  await transport.close()
 }
 
 const startedCpu = process.cpuUsage()
-await measureWay(startUnary)
-await measureWay(startSharedStream)
-await measureWay(startLinks)
+await measureRoundTrips(startUnaryTransport)
+await measureRoundTrips(startSharedStreamTransport)
+await measureRoundTrips(startLinkTransport)
 await measureReceipts()
 for (const window of [1, 2, 4, 16]) await measureOneWay(window)
 await measureHeap()
--- a/packages/rpc/src/lib/peer/LinkConnection.ts
+++ b/packages/rpc/src/lib/peer/LinkConnection.ts
@@ -5,7 +5,7 @@
 import { Code, ConnectError, createClient } from '@connectrpc/connect'
 import { createConnectTransport } from '@connectrpc/connect-node'
 import type { LinkPeer, LinkTls } from '../host/LinkHostOptions'
-import { BatchFeed } from '../feed/BatchFeed'
+import { AsyncQueue } from '../queue/AsyncQueue'
 import { LinkSession } from './LinkSession'
 
 /** @internal */
@@ -22,13 +22,14 @@
 /** How a connection ended. */
 export interface ConnectionEnd {
   readonly reason: string
+  /** Whether the peer refused the connection, so that a quick retry would fail as well. */
   readonly refused: boolean
 }
 
-/** Receipts are a few bytes; anything larger is not from a link. */
+/** Receipts take a few bytes; a larger message does not come from a link receiver. */
 const MAX_RECEIPT_BYTES = 1024
-/** Answers of a receiver that will be the same for the next dial. */
-const refusals: ReadonlySet<Code> = new Set([
+/** Errors from the receiver that a retry would get again. */
+const permanentErrors: ReadonlySet<Code> = new Set([
   Code.Unauthenticated,
   Code.PermissionDenied,
   Code.FailedPrecondition,
@@ -36,9 +37,9 @@
   Code.Unimplemented,
 ])
 
-/** A dialled connection with its one stream. It owns its socket. @internal */
+/** An outgoing connection with a single stream. It owns its socket. @internal */
 export class LinkConnection {
-  readonly #feed = new BatchFeed<EnvelopeBatch>()
+  readonly #batches = new AsyncQueue<EnvelopeBatch>()
   readonly #abort = new AbortController()
   readonly #authority: string
   #session: LinkSession | undefined
@@ -51,17 +52,17 @@
     this.#authority = `${scheme}://${host}:${peer.port}`
   }
 
-  /** Dials and reads receipts until the connection ends, for whatever cause. */
+  /** Dials, then reads receipts until the connection ends. Never rejects. */
   async run(): Promise<ConnectionEnd> {
     try {
-      const receipts = this.#client().exchange(this.#feed, this.#callOptions())
+      const receipts = this.#client().exchange(this.#batches, this.#callOptions())
       for await (const { sequence, fromBoot } of receipts) {
         this.options.onReceipt(sequence, fromBoot)
       }
       return { reason: 'closed by the peer', refused: false }
     } catch (err) {
       const failure = ConnectError.from(err)
-      return { reason: failure.message, refused: refusals.has(failure.code) }
+      return { reason: failure.message, refused: permanentErrors.has(failure.code) }
     } finally {
       this.close()
     }
@@ -69,7 +70,7 @@
 
   send(sequence: number, envelopes: readonly Envelope[]): void {
     const { instance, boot } = this.options
-    this.#feed.push({
+    this.#batches.push({
       $typeName: 'cherryhitch.v1.EnvelopeBatch',
       from: instance,
       fromBoot: boot,
@@ -78,10 +79,10 @@
     })
   }
 
-  /** Ends the connection with a reset, so that unsent data does not arrive late. */
+  /** Closes the connection with a TCP reset, so that unsent data does not arrive late. */
   close(): void {
-    this.#feed.end()
-    // Before the session ends, which would take the handle away from the socket.
+    this.#batches.end()
+    // Must come before the session is aborted, which detaches the handle from the socket.
     if (this.#socket !== undefined) resetSocket(this.#socket)
     this.#abort.abort()
     this.#session?.abort()
@@ -121,7 +122,7 @@
   }
 }
 
-/** Drops unsent data where the system allows it: on an open TCP socket without TLS. */
+/** Discards unsent data where possible, which is on an open TCP socket without TLS. */
 function resetSocket(socket: net.Socket): void {
   const canReset = socket.readyState === 'open' && !(socket instanceof tls.TLSSocket)
   if (canReset) socket.resetAndDestroy()
--- a/packages/rpc/src/lib/peer/LinkSession.test.ts
+++ b/packages/rpc/src/lib/peer/LinkSession.test.ts
@@ -6,19 +6,19 @@
 
 const REFUSAL = 'HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n'
 
-/** Programs that may stand at a peer's port and do not speak HTTP/2. */
-const strangers: readonly { readonly name: string; readonly make: () => net.Server }[] = [
+/** Servers that may listen on a peer's port but do not speak HTTP/2. */
+const nonHttp2Servers: readonly { readonly name: string; readonly make: () => net.Server }[] = [
   { name: 'an HTTP/1.1 server', make: () => http.createServer((_req, res) => res.end('hello')) },
   {
-    name: 'a refusal at once',
+    name: 'an immediate error response',
     make: () => net.createServer((socket) => socket.on('error', () => undefined).write(REFUSAL)),
   },
   {
-    name: 'a refusal at once that closes',
+    name: 'an immediate error response that closes the connection',
     make: () => net.createServer((socket) => socket.on('error', () => undefined).end(REFUSAL)),
   },
   {
-    name: 'a refusal of the first bytes',
+    name: 'an error response to the first bytes',
     make: () =>
       net.createServer((socket) => {
         socket.on('error', () => undefined)
@@ -35,13 +35,13 @@
 }
 
 describe('LinkSession', { timeout: 30_000 }, () => {
-  for (const { name, make } of strangers) {
-    it(`survives ${name} at a peer's port, and links up once the peer is there`, async () => {
-      const quick = { probeTimeoutMs: 100, reconnectMinMs: 5, reconnectMaxMs: 30, tickMs: 10 }
-      const a = await TestInstance.start('a', quick)
-      const b = await TestInstance.start('b', quick)
-      const stranger = make()
-      const port = await listen(stranger)
+  for (const { name, make } of nonHttp2Servers) {
+    it(`survives ${name} on a peer's port, and connects once the peer listens there`, async () => {
+      const fastTuning = { probeTimeoutMs: 100, reconnectMinMs: 5, reconnectMaxMs: 30, tickMs: 10 }
+      const a = await TestInstance.start('a', fastTuning)
+      const b = await TestInstance.start('b', fastTuning)
+      const otherServer = make()
+      const port = await listen(otherServer)
       a.dial('b', port)
       await until('dialled several times', () => a.host.counters().reconnects >= 3)
       a.dial('b', b.host.port)
@@ -51,7 +51,7 @@
       assert.deepEqual(b.numbers, range(1, 5))
       await a.close()
       await b.close()
-      stranger.close()
+      otherServer.close()
     })
   }
 })
--- a/packages/rpc/src/lib/peer/LinkSession.ts
+++ b/packages/rpc/src/lib/peer/LinkSession.ts
@@ -2,7 +2,7 @@
 import type { Duplex } from 'node:stream'
 import type { ConnectTransportOptions } from '@connectrpc/connect-node'
 
-/** What the transport asks of a session; the library does not export the type by its name. */
+/** The session manager type of the transport, which the library does not export by name. */
 type SessionManager = NonNullable<
   Extract<ConnectTransportOptions, { httpVersion: '2' }>['sessionManager']
 >
@@ -10,9 +10,9 @@
 /**
  * The HTTP/2 session of one dialled connection.
  *
- * It listens for errors as long as the session exists. The session manager of the library drops
- * its listeners when it is aborted, and a session that fails after that, such as one whose peer
- * does not speak HTTP/2, would then end the whole process by an error that nobody takes.
+ * It keeps an error listener for the lifetime of the session. The library's own session manager
+ * removes its listeners on abort, so a session that fails later, for example because the peer does
+ * not speak HTTP/2, would end the whole process with an unhandled error.
  *
  * @internal
  */
@@ -29,13 +29,13 @@
       this.#session.once('connect', () => {
         resolve()
       })
-      // Stays for good: the error may come long after the connection was given up.
+      // Never removed: the error may arrive long after the connection was abandoned.
       this.#session.on('error', reject)
       this.#session.once('close', () => {
-        reject(new Error('the connection closed before it was open'))
+        reject(new Error('connection closed before it was established'))
       })
     })
-    // A session that is given up before any request has nobody who awaits it.
+    // Prevents an unhandled rejection if the session is closed before any request awaits it.
     this.#ready.catch(() => undefined)
   }
 
@@ -50,7 +50,7 @@
   }
 
   notifyResponseByteRead(): void {
-    // Silence is found by receipts, not by pings.
+    // No HTTP/2 pings: a silent connection is detected by missing receipts.
   }
 
   abort(): void {
--- a/packages/rpc/src/lib/peer/Outbox.ts
+++ b/packages/rpc/src/lib/peer/Outbox.ts
@@ -1,13 +1,13 @@
 import type { Envelope } from '@cherryhitch/protocol'
 
-/** Envelopes that travel together, until the receiver's receipt. */
+/** Envelopes sent together, kept until the receiver acknowledges them with a receipt. */
 export interface OutgoingBatch {
   readonly sequence: number
   readonly envelopes: readonly Envelope[]
   readonly bytes: number
-  /** When its oldest envelope was queued. */
+  /** When the oldest envelope of the batch was queued. */
   readonly queuedAt: number
-  /** How often it was handed to a connection. */
+  /** How many times the batch was sent. */
   attempts: number
 }
 
@@ -26,18 +26,18 @@
 }
 
 /**
- * What waits for one peer: envelopes not yet in a batch, and batches without a receipt.
+ * The send queue of one peer: envelopes not yet in a batch, and batches without a receipt.
  *
- * Sequence numbers go on over connections, so the receiver can tell a retransmission. They
- * may have gaps where batches were given up.
+ * Sequence numbers continue across connections, so that the receiver can detect retransmissions.
+ * They have gaps where batches were dropped.
  */
 export class Outbox {
   #waiting: WaitingEnvelope[] = []
-  /** Index of the first waiting envelope; the array is compacted now and then. */
+  /** Index of the first waiting envelope; the array is compacted from time to time. */
   #head = 0
   #unacknowledged: OutgoingBatch[] = []
-  /** How many unacknowledged batches the present connection was given. */
-  #handedOver = 0
+  /** How many of the unacknowledged batches were sent on the current connection. */
+  #inFlight = 0
   #nextSequence: number
   #envelopes = 0
   #bytes = 0
@@ -49,7 +49,7 @@
     this.#nextSequence = firstSequence
   }
 
-  /** Envelopes kept, those without a receipt included. */
+  /** Number of envelopes kept, including those sent without a receipt. */
   get size(): number {
     return this.#envelopes
   }
@@ -58,9 +58,9 @@
     return this.#nextSequence
   }
 
-  /** Batches given to the present connection that have no receipt. */
+  /** Number of batches sent on the current connection without a receipt. */
   get inFlight(): number {
-    return this.#handedOver
+    return this.#inFlight
   }
 
   /** Highest sequence that will never be sent again. */
@@ -80,59 +80,59 @@
     this.#bytes += bytes
   }
 
-  /** Next batch for the present connection: first what it must retransmit, then what waits. */
+  /** Next batch for the current connection: retransmissions first, then waiting envelopes. */
   takeBatch(): OutgoingBatch | undefined {
-    const batch = this.#unacknowledged[this.#handedOver] ?? this.#formBatch()
+    const batch = this.#unacknowledged[this.#inFlight] ?? this.#createBatch()
     if (batch === undefined) return undefined
-    this.#handedOver += 1
+    this.#inFlight += 1
     batch.attempts += 1
     return batch
   }
 
-  /** A new connection takes over: everything without a receipt goes out again, in order. */
+  /** Called for a new connection: all unacknowledged batches are sent again, in order. */
   rewind(): void {
-    this.#handedOver = 0
+    this.#inFlight = 0
   }
 
-  /** The receiver has all batches up to this sequence. */
+  /** Removes all batches up to this sequence, which the receiver has received. */
   acknowledge(sequence: number): void {
     while ((this.#unacknowledged[0]?.sequence ?? Infinity) <= sequence) {
-      this.#forgetOldestBatch()
+      this.#removeOldestBatch()
     }
   }
 
-  /** Gives up what was queued before the instant; returns the number of envelopes. */
+  /** Drops what was queued before the instant; returns the number of envelopes. */
   dropOlderThan(instant: number): number {
     const before = this.#envelopes
-    while ((this.#unacknowledged[0]?.queuedAt ?? Infinity) < instant) this.#forgetOldestBatch()
-    while ((this.#waiting[this.#head]?.queuedAt ?? Infinity) < instant) this.#takeWaiting()
+    while ((this.#unacknowledged[0]?.queuedAt ?? Infinity) < instant) this.#removeOldestBatch()
+    while ((this.#waiting[this.#head]?.queuedAt ?? Infinity) < instant) this.#shiftWaiting()
     return before - this.#envelopes
   }
 
-  /** Gives up what was handed to a connection and has no receipt; returns the number of envelopes. */
+  /** Drops all batches that were sent and have no receipt; returns the number of envelopes. */
   dropUnacknowledged(): number {
     const before = this.#envelopes
-    while (this.#unacknowledged.length > 0) this.#forgetOldestBatch()
+    while (this.#unacknowledged.length > 0) this.#removeOldestBatch()
     return before - this.#envelopes
   }
 
-  /** Gives up the oldest envelope, or the oldest batch; returns the number of envelopes. */
+  /** Drops the oldest batch, or else the oldest envelope; returns the number of envelopes. */
   dropOldest(): number {
     const before = this.#envelopes
-    if (this.#unacknowledged.length > 0) this.#forgetOldestBatch()
-    else this.#takeWaiting()
+    if (this.#unacknowledged.length > 0) this.#removeOldestBatch()
+    else this.#shiftWaiting()
     return before - this.#envelopes
   }
 
-  #forgetOldestBatch(): void {
+  #removeOldestBatch(): void {
     const batch = this.#unacknowledged.shift()
     if (batch === undefined) return
-    this.#handedOver = Math.max(0, this.#handedOver - 1)
+    this.#inFlight = Math.max(0, this.#inFlight - 1)
     this.#envelopes -= batch.envelopes.length
     this.#bytes -= batch.bytes
   }
 
-  #takeWaiting(): WaitingEnvelope | undefined {
+  #shiftWaiting(): WaitingEnvelope | undefined {
     const item = this.#waiting[this.#head]
     if (item === undefined) return undefined
     this.#head += 1
@@ -143,19 +143,19 @@
   }
 
   #compact(): void {
-    const worthwhile = this.#head === this.#waiting.length || this.#head > COMPACT_AFTER
-    if (!worthwhile) return
+    const isWorthwhile = this.#head === this.#waiting.length || this.#head > COMPACT_THRESHOLD
+    if (!isWorthwhile) return
     this.#waiting = this.#waiting.slice(this.#head)
     this.#head = 0
   }
 
-  #formBatch(): OutgoingBatch | undefined {
+  #createBatch(): OutgoingBatch | undefined {
     const queuedAt = this.#waiting[this.#head]?.queuedAt
     if (queuedAt === undefined) return undefined
     const envelopes: Envelope[] = []
     let bytes = 0
     while (envelopes.length < this.limits.maxBatchEnvelopes && bytes < this.limits.maxBatchBytes) {
-      const item = this.#takeWaiting()
+      const item = this.#shiftWaiting()
       if (item === undefined) break
       envelopes.push(item.envelope)
       bytes += item.bytes
@@ -169,5 +169,5 @@
   }
 }
 
-/** Taken envelopes at the front of the array before it is compacted. */
-const COMPACT_AFTER = 1024
+/** Number of removed envelopes at the front of the array from which it is compacted. */
+const COMPACT_THRESHOLD = 1024
--- a/packages/rpc/src/lib/peer/PeerLink.test.ts
+++ b/packages/rpc/src/lib/peer/PeerLink.test.ts
@@ -16,22 +16,25 @@
 type SentBatch = Extract<PeerLinkAction, { kind: PeerLinkActionKind.SendBatch }>
 
 /**
- * A link and its receiver in pure form: the connections between them keep order, lose a tail,
- * or go silent in either direction.
+ * Simulates a link and its receiver without sockets. The connections between them keep order, lose
+ * the last batches, or go silent in either direction.
  */
 class SimulatedPair {
   now = 0
   readonly delivered: number[] = []
-  /** What each process of the receiver was given: those that have ended, then the present one. */
-  readonly givenToProcess: number[][] = [this.delivered]
+  /** Numbers delivered to each process of the receiver; the last one is the running process. */
+  readonly deliveredByProcess: number[][] = [this.delivered]
   readonly changes: string[] = []
   readonly counters = newLinkCounters()
   readonly link: PeerLink
   inbox = new Inbox(4)
-  readonly open = new Map<number, { batches: SentBatch[]; silent: boolean; deaf: boolean }>()
+  readonly open = new Map<
+    number,
+    { batches: SentBatch[]; silent: boolean; receiptsLost: boolean }
+  >()
   silenceNew = false
-  /** A receiver of an earlier version names no boot in its receipts. */
-  namesBoot = true
+  /** Whether receipts carry a boot number; those of an earlier version don't. */
+  sendsBoot = true
   #streams = new Map<number, number>()
 
   constructor(maxBatchEnvelopes = 4) {
@@ -39,28 +42,29 @@
     this.link = new PeerLink({ ...tuning, peer: 'b', counters: this.counters })
   }
 
-  /** What the receiver's receipts name. */
+  /** Boot number in the receipts; 0 if the receiver doesn't send one. */
   get boot(): number {
-    return this.namesBoot ? this.givenToProcess.length : 0
+    return this.sendsBoot ? this.deliveredByProcess.length : 0
   }
 
-  tell(event: PeerLinkEvent): void {
+  handle(event: PeerLinkEvent): void {
     this.#perform(this.link.stepAll(this.now, [event]))
   }
 
   queue(n: number): void {
-    this.tell({ kind: PeerLinkEventKind.EnvelopeQueued, envelope: numbered(n), bytes: 20 })
+    this.handle({ kind: PeerLinkEventKind.EnvelopeQueued, envelope: numbered(n), bytes: 20 })
   }
 
-  /** Time goes on by a tick, and the network moves up to `moves` batches of each connection. */
-  pass(moves: number): void {
+  /** Advances the time by one tick and delivers up to `maxBatches` batches of each connection. */
+  advance(maxBatches: number): void {
     this.now += tickMs
     this.#perform(this.link.tick(this.now))
-    for (const id of [...this.open.keys()]) for (let i = 0; i < moves; i++) this.#move(id)
+    for (const id of [...this.open.keys()])
+      for (let i = 0; i < maxBatches; i++) this.#deliverNext(id)
   }
 
-  passFor(ms: number): void {
-    for (let passed = 0; passed < ms; passed += tickMs) this.pass(10)
+  advanceBy(ms: number): void {
+    for (let elapsed = 0; elapsed < ms; elapsed += tickMs) this.advance(10)
   }
 
   silenceAll(): void {
@@ -70,30 +74,30 @@
   reset(id: number): void {
     this.open.delete(id)
     const end = { reason: 'reset', refused: false }
-    this.tell({ kind: PeerLinkEventKind.ConnectionClosed, connection: id, ...end })
+    this.handle({ kind: PeerLinkEventKind.ConnectionClosed, connection: id, ...end })
   }
 
-  #move(id: number): void {
+  #deliverNext(id: number): void {
     const connection = this.open.get(id)
     const batch = connection?.silent === false ? connection.batches.shift() : undefined
     if (connection === undefined || batch === undefined) return
     const sequence = this.#receive(id, batch)
     if (sequence === undefined) this.reset(id)
-    else if (!connection.deaf) {
+    else if (!connection.receiptsLost) {
       const receipt = { connection: id, sequence, boot: this.boot }
-      this.tell({ kind: PeerLinkEventKind.ReceiptArrived, ...receipt })
+      this.handle({ kind: PeerLinkEventKind.ReceiptArrived, ...receipt })
     }
   }
 
-  /** The receiver's process ends with all connections to it, and the next one starts. */
+  /** Restarts the receiver's process, which closes all connections to it. */
   restartReceiver(): void {
     this.inbox = new Inbox(4)
     this.#streams = new Map()
-    this.givenToProcess.push([])
+    this.deliveredByProcess.push([])
     for (const id of [...this.open.keys()]) this.reset(id)
   }
 
-  /** What the receiver answers; undefined when it ends the stream. */
+  /** Returns the sequence of the receipt; undefined if the receiver ends the stream. */
   #receive(id: number, batch: SentBatch): number | undefined {
     if (!this.#streams.has(id)) {
       this.#streams.set(id, this.#streams.size + 1)
@@ -111,7 +115,9 @@
     if (verdict === InboxVerdict.Superseded) return undefined
     if (verdict === InboxVerdict.Deliver) {
       for (const { body } of batch.envelopes) {
-        this.givenToProcess.at(-1)?.push(body.case === 'jobQuery' ? Number(body.value.jobId) : NaN)
+        this.deliveredByProcess
+          .at(-1)
+          ?.push(body.case === 'jobQuery' ? Number(body.value.jobId) : NaN)
       }
     }
     return this.inbox.highest('a')
@@ -128,16 +134,16 @@
   }
 
   #dial(connection: number): void {
-    this.open.set(connection, { batches: [], silent: this.silenceNew, deaf: false })
-    this.tell({ kind: PeerLinkEventKind.ConnectionOpened, connection })
+    this.open.set(connection, { batches: [], silent: this.silenceNew, receiptsLost: false })
+    this.handle({ kind: PeerLinkEventKind.ConnectionOpened, connection })
   }
 }
 
-/** Gives whole numbers from 0 up to a limit. */
-type Draw = (limit: number) => number
+/** Returns a random integer from 0 up to, but not including, a limit. */
+type RandomBelow = (limit: number) => number
 
-/** A small generator with a fixed seed. */
-function randomOf(seed: number): Draw {
+/** A linear congruential generator, so that a seed reproduces a run. */
+function createRandom(seed: number): RandomBelow {
   let state = seed
   return (limit) => {
     state = (Math.imul(state, 1664525) + 1013904223) >>> 0
@@ -148,29 +154,29 @@
 const ROUNDS = 3_000
 
 /**
- * Queues numbers from 1 on under random resets and silence.
+ * Queues the numbers from 1 on while connections are randomly reset or go silent.
  *
- * @param further - one more fault, as rare as each of the others
+ * @param extraFault - injects one more kind of fault, as often as each of the others
  * @returns how many numbers were queued
  */
-function playFaults(
+function runWithFaults(
   pair: SimulatedPair,
   seed: number,
-  further: (random: Draw) => void,
+  extraFault: (random: RandomBelow) => void,
   onRound: () => void = () => undefined,
 ): number {
-  const random = randomOf(seed)
+  const random = createRandom(seed)
   let sent = 0
   for (let round = 0; round < ROUNDS; round++) {
     for (let i = random(4); i > 0; i--) pair.queue(++sent)
     const connections = [...pair.open.values()]
-    const hit = connections[random(connections.length)]
+    const target = connections[random(connections.length)]
     const fault = random(60)
-    if (fault === 0 && hit !== undefined) hit.silent = true
-    if (fault === 1 && hit !== undefined) hit.deaf = true
+    if (fault === 0 && target !== undefined) target.silent = true
+    if (fault === 1 && target !== undefined) target.receiptsLost = true
     if (fault === 2) pair.reset([...pair.open.keys()][0] ?? 0)
-    if (fault === 3) further(random)
-    pair.pass(random(3))
+    if (fault === 3) extraFault(random)
+    pair.advance(random(3))
     onRound()
   }
   return sent
@@ -180,100 +186,103 @@
   for (const seed of seeds) {
     it(`delivers each message once and in order under resets and silence, seed ${seed}`, () => {
       const pair = new SimulatedPair()
-      const silenceNew = (random: Draw): void => {
+      const silenceNew = (random: RandomBelow): void => {
         pair.silenceNew = random(4) === 0
       }
-      const sent = playFaults(pair, seed, silenceNew, () => {
+      const sent = runWithFaults(pair, seed, silenceNew, () => {
         assert.deepEqual(
           pair.delivered.slice(-1),
           pair.delivered.length > 0 ? [pair.delivered.length] : [],
         )
       })
       pair.silenceNew = false
-      pair.passFor(10_000)
+      pair.advanceBy(10_000)
       assert.deepEqual(pair.delivered, range(1, sent))
       assert.ok(pair.counters.batchesResent > 0)
       assert.equal(pair.link.outbox.size, 0)
     })
   }
 
-  it('hands no message to two processes of its peer', () => {
+  it('delivers no message to two processes of its peer', () => {
     for (const seed of seeds) {
       const pair = new SimulatedPair()
-      const sent = playFaults(pair, seed, () => {
+      const sent = runWithFaults(pair, seed, () => {
         pair.restartReceiver()
       })
-      pair.passFor(10_000)
-      const given = pair.givenToProcess.flat()
-      assert.ok(pair.givenToProcess.length > 10)
-      assert.ok(given.length > sent / 2, `seed ${seed}: ${given.length} of ${sent} arrived`)
-      assert.equal(new Set(given).size, given.length, `seed ${seed}`)
+      pair.advanceBy(10_000)
+      const deliveredNumbers = pair.deliveredByProcess.flat()
+      assert.ok(pair.deliveredByProcess.length > 10)
+      assert.ok(
+        deliveredNumbers.length > sent / 2,
+        `seed ${seed}: ${deliveredNumbers.length} of ${sent} arrived`,
+      )
+      assert.equal(new Set(deliveredNumbers).size, deliveredNumbers.length, `seed ${seed}`)
       assert.equal(pair.link.outbox.size, 0)
     }
   })
 
   const receivers = [
     {
-      namesBoot: true,
-      title: 'gives a peer that has started again only what an earlier process was not sent',
+      sendsBoot: true,
+      title: 'sends a restarted peer only messages that were not sent to the earlier process',
     },
     {
-      namesBoot: false,
-      title: 'takes each connection for one to a new process where receipts name none',
+      sendsBoot: false,
+      title: 'assumes a new process for each connection if receipts carry no boot number',
     },
   ]
-  for (const { namesBoot, title } of receivers) {
+  for (const { sendsBoot, title } of receivers) {
     it(title, () => {
       const pair = new SimulatedPair()
-      pair.namesBoot = namesBoot
-      pair.passFor(1000)
+      pair.sendsBoot = sendsBoot
+      pair.advanceBy(1000)
       pair.silenceAll()
       pair.queue(1)
-      pair.pass(1)
+      pair.advance(1)
       pair.restartReceiver()
       pair.queue(2)
-      pair.passFor(1000)
-      assert.deepEqual(pair.givenToProcess, [[], [2]])
+      pair.advanceBy(1000)
+      assert.deepEqual(pair.deliveredByProcess, [[], [2]])
     })
   }
 
-  it('reports a lost peer within the sum of its limits, and only after the probe failed', () => {
+  it('reports a lost peer within the sum of its timeouts, and only after the probe failed', () => {
     const pair = new SimulatedPair()
-    pair.passFor(1000)
+    pair.advanceBy(1000)
     pair.silenceAll()
     pair.silenceNew = true
-    pair.passFor(silentAfterMs)
+    pair.advanceBy(silentAfterMs)
     assert.deepEqual(pair.changes, [PeerLinkActionKind.ReportUp])
-    pair.passFor(keepAliveMs + probeTimeoutMs + 2 * tickMs)
+    pair.advanceBy(keepAliveMs + probeTimeoutMs + 2 * tickMs)
     assert.deepEqual(pair.changes, [PeerLinkActionKind.ReportUp, PeerLinkActionKind.ReportDown])
   })
 
-  it('does not take its own standstill for silence of the peer', () => {
+  it('does not mistake a stall of its own process for silence of the peer', () => {
     const pair = new SimulatedPair()
-    pair.passFor(1000)
+    pair.advanceBy(1000)
     pair.queue(1)
     pair.now += 30_000
-    pair.passFor(500)
+    pair.advanceBy(500)
     assert.deepEqual(pair.delivered, [1])
     assert.equal(pair.counters.silentConnections, 0)
   })
 
-  it('still finds a silent peer when this process stands still again and again', () => {
+  it('still detects a silent peer if its own process stalls repeatedly', () => {
     const pair = new SimulatedPair()
-    pair.passFor(1000)
+    pair.advanceBy(1000)
     pair.silenceAll()
     for (let stalls = 0; stalls < 8; stalls++) {
       pair.now += 400
-      pair.passFor(200)
+      pair.advanceBy(200)
     }
     assert.equal(pair.counters.silentConnections, 1)
   })
 
-  it('dials a peer that resets every connection at a falling rate', () => {
+  it('backs off when a peer resets every connection', () => {
     const pair = new SimulatedPair()
-    for (let passed = 0; passed < 10_000; passed += tickMs) {
+    for (let elapsed = 0; elapsed < 10_000; elapsed += tickMs) {
       for (const id of [...pair.open.keys()]) pair.reset(id)
-      pair.pass(0)
+      pair.advance(0)
     }
     assert.ok(pair.counters.reconnects > 5)
     assert.ok(pair.counters.reconnects < 60, `${pair.counters.reconnects} dials`)
--- a/packages/rpc/src/lib/peer/PeerLink.ts
+++ b/packages/rpc/src/lib/peer/PeerLink.ts
@@ -11,23 +11,23 @@
 
 type Receipt = Extract<PeerLinkEvent, { kind: PeerLinkEventKind.ReceiptArrived }>
 
-/** A batch that was handed over to a connection. */
-interface UnansweredBatch {
+/** A batch that was sent on a connection and has no receipt yet. */
+interface InFlightBatch {
   readonly sequence: number
   readonly sentAt: number
 }
 
-/** One connection as the machine sees it. */
+/** The state of one connection. */
 interface Connection {
   readonly id: number
   dialledAt: number
-  /** The batches without a receipt, in the order in which they were handed over. */
-  readonly unanswered: UnansweredBatch[]
+  /** Batches sent on this connection without a receipt, oldest first, including empty ones. */
+  readonly inFlight: InFlightBatch[]
   lastSentAt: number
   lastHeardAt: number
-  /** When its first receipt came. */
-  provenAt: number
-  /** Boot of the process at its other end; undefined before the first receipt. */
+  /** When its first receipt arrived; until then, when it was dialled. */
+  firstReceiptAt: number
+  /** Boot number of the process at the other end; undefined before the first receipt. */
   peerBoot: number | undefined
 }
 
@@ -36,31 +36,34 @@
   readonly peer: string
   /** Shared with the other links of the host. */
   readonly counters: LinkCounters
-  /** Goes on from an earlier link of this process to the same peer. */
+  /** Continues the numbering of an earlier link from this process to the same peer. */
   readonly firstSequence?: number
 }
 
 /** Weight of a new sample in the smoothed round trip, as in RFC 6298. */
 const ROUND_TRIP_WEIGHT = 1 / 8
 /**
- * Nobody looked after the link for so long, in milliseconds: this process stood still. It is half
- * as much again as the slowest pace at which that is done.
+ * Gap between two checks from which this process is taken to have been stalled, in milliseconds.
+ * It is 1.5 times the longest regular interval between checks.
  */
 const STALL_MS = 300
-/** In the receipts of versions that don't name their process: any connection may lead to a new one. */
-const UNNAMED_BOOT = 0
+/**
+ * Boot number in receipts from versions that don't send one. Each new connection to such a peer
+ * may lead to a new process.
+ */
+const UNKNOWN_BOOT = 0
 const HASH_RANGE = 0xffffffff
 const HASH_DIGITS = 8
 
 /**
- * Decides on one outgoing link: when to dial, to probe, to resend, to give up.
+ * State machine of one outgoing link: decides when to dial, probe, resend and drop.
  *
- * At most two connections exist: the current one, and a candidate that was dialled because the
- * current one is missing or silent. The candidate must answer an empty batch before it takes
- * over, and it replaces the current one without the peer being reported as down.
+ * At most two connections exist: the current one, and a candidate that is dialled when the current
+ * one is missing or silent. The candidate is promoted to current once it has acknowledged an empty
+ * batch. If the old connection is replaced in time, the peer is not reported as down.
  *
- * A message is handed to one process of the peer at most, so an answer to it is that of the process
- * that may have acted on it.
+ * Each message is delivered to at most one process of the peer, so the reply to a message always
+ * comes from the process that may have acted on it.
  *
  * @internal
  */
@@ -69,16 +72,16 @@
   #up = false
   #current: Connection | undefined
   #candidate: Connection | undefined
-  #lastId = 0
-  /** Failed dials since a connection last proved durable. */
+  #lastConnectionId = 0
+  /** Failed dials and short-lived connections since a connection was last stable. */
   #failures = 0
   #nextDialAt = 0
-  #lostAt = 0
+  #disconnectedAt = 0
   #lastTickAt: number | undefined
   #roundTripMs = 0
-  #samples = 0
-  #lastReason = ''
-  /** Boot of the process that the last proven connection led to. */
+  #roundTripSamples = 0
+  #lastDialError = ''
+  /** Boot number of the process at the other end of the last promoted connection. */
   #peerBoot: number | undefined
 
   constructor(private readonly options: PeerLinkOptions) {
@@ -90,14 +93,14 @@
     return this.#up
   }
 
-  /** Smoothed time from handing a batch over to its receipt; 0 before the first one. */
+  /** Smoothed time from sending a batch to its receipt, in milliseconds; 0 before the first one. */
   get roundTripMs(): number {
     return this.#roundTripMs
   }
 
   override stepAll(now: number, events: readonly PeerLinkEvent[]): readonly PeerLinkAction[] {
     const actions = events.flatMap((event) => this.#handle(now, event))
-    // Batches are formed once all events are in, so what is ready travels together.
+    // Batches are formed after all events are handled, so that queued envelopes share a batch.
     return [...actions, ...this.#sendBatches(now)]
   }
 
@@ -108,25 +111,25 @@
   override get tickDueAt(): number {
     const connection = this.#current
     if (!this.#up || connection === undefined || this.#candidate !== undefined) return -Infinity
-    return this.#silentAt(connection)
+    return this.#checkDueAt(connection)
   }
 
-  /** This process is awake, though nothing is due: it takes the place of a tick. */
-  noteAwake(now: number): void {
+  /** Replaces a tick when nothing is due, so that the gap does not count as a stall. */
+  recordAwake(now: number): void {
     this.#lastTickAt = now
   }
 
-  /** Whether time alone has something to do, or this process stood still. */
+  /** Whether a timeout is due, or this process was stalled. */
   needsTick(now: number): boolean {
     return now >= this.tickDueAt || now - (this.#lastTickAt ?? now) >= STALL_MS
   }
 
   override tick(now: number): readonly PeerLinkAction[] {
-    this.#excuseStall(now)
+    this.#discountStall(now)
     if (!this.#up) this.#dropStale(now)
     return [
       ...this.#checkCandidate(now),
-      ...this.#checkLoss(now),
+      ...this.#checkDisconnected(now),
       ...this.#checkCurrent(now),
       ...this.#dialIfDue(now),
     ]
@@ -135,21 +138,21 @@
   #handle(now: number, event: PeerLinkEvent): readonly PeerLinkAction[] {
     switch (event.kind) {
       case PeerLinkEventKind.EnvelopeQueued:
-        this.#queue(now, event)
+        this.#enqueue(now, event)
         return []
       case PeerLinkEventKind.ConnectionOpened:
-        return this.#askForAnswer(now, this.#find(event.connection))
+        return this.#sendEmptyBatch(now, this.#findConnection(event.connection))
       case PeerLinkEventKind.ReceiptArrived:
-        return this.#takeReceipt(now, event)
+        return this.#handleReceipt(now, event)
       case PeerLinkEventKind.ConnectionClosed:
-        return this.#takeClosed(now, event)
+        return this.#handleClosed(now, event)
       default:
         return exhaustive(event)
     }
   }
 
-  /** While the peer is down the newest envelopes are the ones worth keeping. */
-  #queue(now: number, { envelope, bytes }: { envelope: Envelope; bytes: number }): void {
+  /** While the peer is down, a full queue drops its oldest envelopes in favor of new ones. */
+  #enqueue(now: number, { envelope, bytes }: { envelope: Envelope; bytes: number }): void {
     const { counters } = this.options
     while (!this.outbox.hasRoomFor(bytes) && !this.#up && this.outbox.size > 0) {
       counters.dropped += this.outbox.dropOldest()
@@ -158,13 +161,13 @@
     else counters.dropped += 1
   }
 
-  #find(id: number): Connection | undefined {
+  #findConnection(id: number): Connection | undefined {
     if (this.#current?.id === id) return this.#current
     return this.#candidate?.id === id ? this.#candidate : undefined
   }
 
-  /** An empty batch: its receipt proves that the connection carries data both ways. */
-  #askForAnswer(now: number, connection: Connection | undefined): readonly PeerLinkAction[] {
+  /** The receipt for an empty batch proves that the connection carries data both ways. */
+  #sendEmptyBatch(now: number, connection: Connection | undefined): readonly PeerLinkAction[] {
     if (connection === undefined) return []
     return [this.#send(now, connection, this.outbox.floor, [])]
   }
@@ -175,14 +178,14 @@
     sequence: number,
     envelopes: readonly Envelope[],
   ): PeerLinkAction {
-    connection.unanswered.push({ sequence, sentAt: now })
+    connection.inFlight.push({ sequence, sentAt: now })
     connection.lastSentAt = now
     return { kind: PeerLinkActionKind.SendBatch, connection: connection.id, sequence, envelopes }
   }
 
   #sendBatches(now: number): readonly PeerLinkAction[] {
     const connection = this.#current
-    // While it is being probed it gets nothing more: all of that would be sent twice.
+    // While a candidate is probed, the old connection gets no new batches: they would be resent.
     if (connection === undefined || this.#candidate !== undefined) return []
     const actions: PeerLinkAction[] = []
     while (this.outbox.inFlight < this.options.maxBatchesInFlight) {
@@ -205,31 +208,34 @@
     counters.bytesSent += batch.bytes
   }
 
-  #takeReceipt(
+  #handleReceipt(
     now: number,
     { connection: id, sequence, boot }: Receipt,
   ): readonly PeerLinkAction[] {
-    const connection = this.#find(id)
-    // A late receipt of a connection that was replaced still says what arrived.
+    const connection = this.#findConnection(id)
+    // A late receipt from a replaced connection still acknowledges batches.
     this.outbox.acknowledge(sequence)
     if (connection === undefined) return []
     connection.lastHeardAt = now
     connection.peerBoot = boot
-    this.#settle(now, connection, sequence)
+    this.#removeAcknowledged(now, connection, sequence)
     if (connection === this.#candidate) return this.#promote(now, connection)
     return this.#closeCandidate()
   }
 
-  /** A receipt may be for several batches; the newest of them has waited for it the least. */
-  #settle(now: number, { unanswered }: Connection, sequence: number): void {
-    let newest: UnansweredBatch | undefined
-    while ((unanswered[0]?.sequence ?? Infinity) <= sequence) newest = unanswered.shift()
-    if (newest !== undefined) this.#measure(now - newest.sentAt)
+  /**
+   * A receipt may acknowledge several batches. The round trip is measured from the latest of them,
+   * which waited the shortest time for its receipt.
+   */
+  #removeAcknowledged(now: number, { inFlight }: Connection, sequence: number): void {
+    let latest: InFlightBatch | undefined
+    while ((inFlight[0]?.sequence ?? Infinity) <= sequence) latest = inFlight.shift()
+    if (latest !== undefined) this.#updateRoundTrip(now - latest.sentAt)
   }
 
-  #measure(sampleMs: number): void {
-    this.#samples += 1
-    const weight = Math.max(ROUND_TRIP_WEIGHT, 1 / this.#samples)
+  #updateRoundTrip(sampleMs: number): void {
+    this.#roundTripSamples += 1
+    const weight = Math.max(ROUND_TRIP_WEIGHT, 1 / this.#roundTripSamples)
     this.#roundTripMs += (sampleMs - this.#roundTripMs) * weight
   }
 
@@ -239,32 +245,31 @@
     if (old !== undefined) actions.push({ kind: PeerLinkActionKind.Close, connection: old.id })
     this.#current = connection
     this.#candidate = undefined
-    connection.provenAt = now
-    actions.push(...this.#noteProcess(connection))
+    connection.firstReceiptAt = now
+    actions.push(...this.#dropIfPeerRestarted(connection))
     this.outbox.rewind()
-    // Also while up: a batch that ends every stream it travels on must not block the rest.
+    // Also while the peer is up: a batch that breaks every stream it is sent on must not block the
+    // queue for longer than `staleAfterMs`.
     this.#dropStale(now)
     if (this.#up) {
-      actions.push(
-        this.#log(old === undefined ? 'connection renewed' : 'silent connection replaced'),
-      )
+      actions.push(this.#log(old === undefined ? 'reconnected' : 'silent connection replaced'))
       return actions
     }
     this.#up = true
-    this.#lastReason = ''
+    this.#lastDialError = ''
     actions.push({ kind: PeerLinkActionKind.ReportUp, roundTripMs: this.#roundTripMs })
     return actions
   }
 
   /**
-   * Gives up what an earlier process of the peer may have taken. The next one can't know, so what it
-   * says of a message that it is given as well would not be true of the message.
+   * Drops the messages that an earlier process of the peer may have received. A new process doesn't
+   * know what the earlier one received, so its reply to a resent message could be wrong.
    */
-  #noteProcess({ peerBoot }: Connection): readonly PeerLinkAction[] {
+  #dropIfPeerRestarted({ peerBoot }: Connection): readonly PeerLinkAction[] {
     const earlier = this.#peerBoot
     this.#peerBoot = peerBoot
     if (earlier === undefined) return []
-    if (earlier === peerBoot && peerBoot !== UNNAMED_BOOT) return []
+    if (earlier === peerBoot && peerBoot !== UNKNOWN_BOOT) return []
     const dropped = this.outbox.dropUnacknowledged()
     this.options.counters.droppedInDoubt += dropped
     return [this.#log(`started again (boot ${peerBoot}), messages given up: ${dropped}`)]
@@ -277,7 +282,7 @@
     return [{ kind: PeerLinkActionKind.Close, connection: candidate.id }]
   }
 
-  #takeClosed(
+  #handleClosed(
     now: number,
     event: { connection: number; reason: string; refused: boolean },
   ): readonly PeerLinkAction[] {
@@ -286,26 +291,26 @@
       return this.#dialFailed(now, event.reason, event.refused)
     }
     if (event.connection !== this.#current?.id) return []
-    const livedLong = now - this.#current.provenAt > this.options.reconnectMaxMs
+    const wasStable = now - this.#current.firstReceiptAt > this.options.reconnectMaxMs
     this.#current = undefined
-    this.#lostAt = now
-    this.#failures = livedLong ? 0 : this.#failures + 1
+    this.#disconnectedAt = now
+    this.#failures = wasStable ? 0 : this.#failures + 1
     this.#nextDialAt = now + this.#dialDelay(event.refused)
-    // A candidate that is under way already is the new connection.
+    // No dial if a candidate is already being dialled.
     return [this.#log(`connection lost: ${event.reason}`), ...this.#dialIfDue(now)]
   }
 
-  /** The new connection failed too: the peer is down, or still down. */
+  /** Handles a failed candidate: the peer is down, or still down. */
   #dialFailed(now: number, reason: string, refused: boolean): readonly PeerLinkAction[] {
     this.#failures += 1
     this.#nextDialAt = now + this.#dialDelay(refused)
-    const actions = this.#up ? [...this.#goDown(now)] : []
-    if (reason !== this.#lastReason) actions.push(this.#log(`dial failed: ${reason}`))
-    this.#lastReason = reason
+    const actions = this.#up ? [...this.#markDown(now)] : []
+    if (reason !== this.#lastDialError) actions.push(this.#log(`dial failed: ${reason}`))
+    this.#lastDialError = reason
     return actions
   }
 
-  #goDown(now: number): readonly PeerLinkAction[] {
+  #markDown(now: number): readonly PeerLinkAction[] {
     const current = this.#current
     this.#up = false
     this.#current = undefined
@@ -316,13 +321,13 @@
     return [{ kind: PeerLinkActionKind.Close, connection: current.id }, down]
   }
 
-  /** Exponential, with jitter so that instances do not dial a restarted one in step. */
+  /** Exponential backoff with jitter, so that instances don't redial a restarted peer in step. */
   #dialDelay(refused: boolean): number {
     const { reconnectMinMs, reconnectMaxMs, peer } = this.options
     if (this.#failures === 0) return 0
-    const grown = reconnectMinMs * 2 ** (this.#failures - 1)
-    const limit = refused ? reconnectMaxMs : Math.min(reconnectMaxMs, grown)
-    const digits = hash64(`${peer}/${this.#lastId}`).slice(0, HASH_DIGITS)
+    const backoffMs = reconnectMinMs * 2 ** (this.#failures - 1)
+    const limit = refused ? reconnectMaxMs : Math.min(reconnectMaxMs, backoffMs)
+    const digits = hash64(`${peer}/${this.#lastConnectionId}`).slice(0, HASH_DIGITS)
     const fraction = Number.parseInt(digits, 16) / HASH_RANGE
     return reconnectMinMs + (limit - reconnectMinMs) * fraction
   }
@@ -332,8 +337,8 @@
     counters.droppedStale += this.outbox.dropOlderThan(now - staleAfterMs)
   }
 
-  /** Silence means nothing while this process itself stood still: that time is left out. */
-  #excuseStall(now: number): void {
+  /** Excludes time in which this process was stalled from the silence and probe timeouts. */
+  #discountStall(now: number): void {
     const gap = now - (this.#lastTickAt ?? now)
     this.#lastTickAt = now
     if (gap < STALL_MS) return
@@ -347,28 +352,31 @@
     const candidate = this.#candidate
     if (candidate === undefined) return []
     if (now - candidate.dialledAt < this.options.probeTimeoutMs) return []
-    return [...this.#closeCandidate(), ...this.#dialFailed(now, 'no answer', false)]
+    return [
+      ...this.#closeCandidate(),
+      ...this.#dialFailed(now, 'no receipt within the probe timeout', false),
+    ]
   }
 
-  /** A lost connection that could not be dialled again soon makes the peer count as down. */
-  #checkLoss(now: number): readonly PeerLinkAction[] {
+  /** Marks the peer as down if a lost connection was not redialled within the probe timeout. */
+  #checkDisconnected(now: number): readonly PeerLinkAction[] {
     if (!this.#up || this.#current !== undefined || this.#candidate !== undefined) return []
-    return now - this.#lostAt < this.options.probeTimeoutMs ? [] : this.#goDown(now)
+    return now - this.#disconnectedAt < this.options.probeTimeoutMs ? [] : this.#markDown(now)
   }
 
   #checkCurrent(now: number): readonly PeerLinkAction[] {
     const connection = this.#current
     if (connection === undefined || this.#candidate !== undefined) return []
-    if (now < this.#silentAt(connection)) return []
-    if (connection.unanswered.length === 0) return this.#askForAnswer(now, connection)
+    if (now < this.#checkDueAt(connection)) return []
+    if (connection.inFlight.length === 0) return this.#sendEmptyBatch(now, connection)
     this.options.counters.silentConnections += 1
-    return [this.#log('no answer, probing'), ...this.#dial(now)]
+    return [this.#log('no receipt, probing on a new connection'), ...this.#dial(now)]
   }
 
-  /** When an idle connection is asked for an answer, or one that owes an answer is probed. */
-  #silentAt(connection: Connection): number {
+  /** When an empty batch is due on an idle connection, or else a probe for a missing receipt. */
+  #checkDueAt(connection: Connection): number {
     const { keepAliveMs, silentAfterMs } = this.options
-    if (connection.unanswered.length === 0) return connection.lastSentAt + keepAliveMs
+    if (connection.inFlight.length === 0) return connection.lastSentAt + keepAliveMs
     return silentSince(connection) + silentAfterMs
   }
 
@@ -378,16 +386,16 @@
   }
 
   #dial(now: number): readonly PeerLinkAction[] {
-    if (this.#lastId > 0) this.options.counters.reconnects += 1
-    this.#lastId += 1
-    const id = this.#lastId
+    if (this.#lastConnectionId > 0) this.options.counters.reconnects += 1
+    this.#lastConnectionId += 1
+    const id = this.#lastConnectionId
     this.#candidate = {
       id,
       dialledAt: now,
-      unanswered: [],
+      inFlight: [],
       lastSentAt: now,
       lastHeardAt: now,
-      provenAt: now,
+      firstReceiptAt: now,
       peerBoot: undefined,
     }
     return [{ kind: PeerLinkActionKind.Dial, connection: id }]
@@ -398,7 +406,10 @@
   }
 }
 
-/** Since when the connection owes an answer, or was last heard of. */
-function silentSince({ unanswered, lastHeardAt }: Connection): number {
-  return Math.max(unanswered[0]?.sentAt ?? lastHeardAt, lastHeardAt)
+/**
+ * When the oldest unacknowledged batch was sent or the connection was last heard from, whichever is
+ * later.
+ */
+function silentSince({ inFlight, lastHeardAt }: Connection): number {
+  return Math.max(inFlight[0]?.sentAt ?? lastHeardAt, lastHeardAt)
 }
--- a/packages/rpc/src/lib/peer/PeerLinkAction.ts
+++ b/packages/rpc/src/lib/peer/PeerLinkAction.ts
@@ -10,7 +10,7 @@
   Log = 'log',
 }
 
-/** What the shell of a link carries out. */
+/** An action for the host of a link's state machine to perform. */
 export type PeerLinkAction =
   | { readonly kind: PeerLinkActionKind.Dial; readonly connection: number }
   | { readonly kind: PeerLinkActionKind.Close; readonly connection: number }
@@ -18,7 +18,7 @@
       readonly kind: PeerLinkActionKind.SendBatch
       readonly connection: number
       readonly sequence: number
-      /** None in a batch that only asks for an answer. */
+      /** Empty in a batch that only requests a receipt. */
       readonly envelopes: readonly Envelope[]
     }
   | { readonly kind: PeerLinkActionKind.ReportUp; readonly roundTripMs: number }
--- a/packages/rpc/src/lib/peer/PeerLinkEvent.ts
+++ b/packages/rpc/src/lib/peer/PeerLinkEvent.ts
@@ -8,7 +8,7 @@
   ConnectionClosed = 'connection closed',
 }
 
-/** What happens to the link to one peer. */
+/** An event on the link to one peer. */
 export type PeerLinkEvent =
   | {
       readonly kind: PeerLinkEventKind.EnvelopeQueued
@@ -19,15 +19,15 @@
   | {
       readonly kind: PeerLinkEventKind.ReceiptArrived
       readonly connection: number
-      /** Highest batch that the receiver has of this process. */
+      /** Highest sequence that the receiver has received from this process. */
       readonly sequence: number
-      /** Boot of the process that gave the receipt. */
+      /** Boot number of the process that sent the receipt. */
       readonly boot: number
     }
   | {
       readonly kind: PeerLinkEventKind.ConnectionClosed
       readonly connection: number
       readonly reason: string
-      /** The peer answered, and refused: dialling again soon is of no use. */
+      /** The peer refused the connection, so a quick retry would fail as well. */
       readonly refused: boolean
     }
--- a/packages/rpc/src/lib/peer/estimateBytes.ts
+++ b/packages/rpc/src/lib/peer/estimateBytes.ts
@@ -1,12 +1,12 @@
-/** Longest tag and length of a field. */
+/** Upper bound for the tag and length prefix of a field. */
 const BYTES_PER_FIELD = 8
 const BYTES_PER_NUMBER = 10
 
 /**
- * Upper estimate of the encoded size of a message, without encoding it.
+ * Upper bound for the encoded size of a message, computed without encoding it.
  *
- * It counts the longest tag and length for each field that is written. It knows no map fields:
- * the link's messages have none.
+ * It assumes the longest tag and length prefix for each field that is encoded. Map fields are not
+ * supported: the messages of a link have none.
  */
 export function estimateBytes(value: unknown): number {
   switch (typeof value) {
@@ -38,7 +38,7 @@
   return total
 }
 
-/** Fields at their default are not written; items of a list always are. */
+/** Fields with their default value are not encoded; list items always are. */
 function isDefault(field: unknown): boolean {
   return field === '' || field === 0 || field === false
 }
--- a/packages/rpc/src/lib/peer/startPeerLink.ts
+++ b/packages/rpc/src/lib/peer/startPeerLink.ts
@@ -28,55 +28,55 @@
 
 /** Handle of a running link. @internal */
 export interface RunningPeerLink {
-  /** Never blocks; false when the envelope was refused, and counted. */
+  /** Never blocks. Returns false if the envelope was refused, which is counted. */
   readonly send: (envelope: Envelope) => boolean
   readonly roundTripMs: () => number
   readonly isUp: () => boolean
-  /** Envelopes without a receipt. */
+  /** Number of envelopes without a receipt, including those not sent yet. */
   readonly outstanding: () => number
   readonly nextSequence: () => number
-  /** To be called once `tickDueAt` has come, at the latest every 200 ms. */
+  /** Must be called at `tickDueAt`, and at least every 200 ms. */
   readonly tick: () => void
   readonly tickDueAt: () => number
 }
 
 const TICK = Symbol('tick')
-type Mail = PeerLinkEvent | typeof TICK
+type LinkMessage = PeerLinkEvent | typeof TICK
 
-/** Starts the owner of the link to one peer. It ends with the scope. @internal */
+/** Starts the link to one peer. It closes with the scope. @internal */
 export function startPeerLink(
   options: StartPeerLinkOptions,
 ): Effect.Effect<RunningPeerLink, never, Scope.Scope> {
   const { handlers, peer } = options
   return Effect.gen(function* () {
-    const mailbox: Mailbox<Mail> = yield* startMailbox<Mail>({
-      take: (mail) => {
-        shell.handle(mail)
+    const mailbox: Mailbox<LinkMessage> = yield* startMailbox<LinkMessage>({
+      take: (messages) => {
+        runner.handle(messages)
       },
       onDefect: (defect) => {
-        handlers.log(`the link to ${peer} ended by a defect: ${String(defect)}`)
-        shell.closeAll()
+        handlers.log(`link to ${peer} stopped after an unexpected error: ${String(defect)}`)
+        runner.closeAll()
       },
     })
-    const shell = new PeerLinkShell(options, mailbox.tell)
+    const runner = new PeerLinkRunner(options, mailbox.tell)
     yield* Effect.addFinalizer(() =>
       Effect.sync(() => {
-        shell.closeAll()
+        runner.closeAll()
       }),
     )
     const tick = (): void => {
-      if (shell.needsTick()) mailbox.tell(TICK)
+      if (runner.needsTick()) mailbox.tell(TICK)
     }
-    return { ...shell.handleFor(), tick }
+    return { ...runner.createHandle(), tick }
   })
 }
 
-/** Carries out what the machine decides. Only its mailbox calls `handle`. */
-class PeerLinkShell {
+/** Performs the actions of the state machine. Only the mailbox calls `handle`. */
+class PeerLinkRunner {
   readonly #machine: PeerLink
   readonly #connections = new Map<number, LinkConnection>()
-  /** Envelopes told to the mailbox that the machine has not seen yet. */
-  #untaken = 0
+  /** Number of envelopes in the mailbox that the state machine has not handled yet. */
+  #unhandled = 0
 
   constructor(
     private readonly options: StartPeerLinkOptions,
@@ -85,29 +85,29 @@
     this.#machine = new PeerLink(options)
   }
 
-  handle(mail: readonly Mail[]): void {
+  handle(messages: readonly LinkMessage[]): void {
     const now = this.options.clock.now()
-    const events = mail.filter((item) => item !== TICK)
-    const isTickDue = events.length < mail.length
-    this.#untaken = 0
+    const events = messages.filter((item) => item !== TICK)
+    const isTickDue = events.length < messages.length
+    this.#unhandled = 0
     this.#performAll(this.#machine.stepAll(now, events))
     if (isTickDue) this.#performAll(this.#machine.tick(now))
   }
 
-  /** False when nothing is due; the machine then only learns that this process is awake. */
+  /** If no tick is needed, only records that this process is not stalled, and returns false. */
   needsTick(): boolean {
     const now = this.options.clock.now()
     if (this.#machine.needsTick(now)) return true
-    this.#machine.noteAwake(now)
+    this.#machine.recordAwake(now)
     return false
   }
 
-  handleFor(): Omit<RunningPeerLink, 'tick'> {
+  createHandle(): Omit<RunningPeerLink, 'tick'> {
     return {
       send: (envelope) => this.#send(envelope),
       roundTripMs: () => this.#machine.roundTripMs,
       isUp: () => this.#machine.isUp,
-      outstanding: () => this.#machine.outbox.size + this.#untaken,
+      outstanding: () => this.#machine.outbox.size + this.#unhandled,
       nextSequence: () => this.#machine.outbox.nextSequence,
       tickDueAt: () => this.#machine.tickDueAt,
     }
@@ -120,19 +120,19 @@
 
   #send(envelope: Envelope): boolean {
     const { counters, maxEnvelopeBytes } = this.options
-    const packed = pack(envelope)
-    const bytes = estimateBytes(packed)
+    const encoded = encodeBody(envelope)
+    const bytes = estimateBytes(encoded)
     if (bytes > maxEnvelopeBytes) {
       counters.oversized += 1
       return false
     }
-    // A peer that is down keeps the newest envelopes, so there is always room.
-    if (this.#machine.isUp && !this.#machine.outbox.hasRoomFor(bytes, this.#untaken)) {
+    // While the peer is down, old envelopes are dropped for new ones, so there is always room.
+    if (this.#machine.isUp && !this.#machine.outbox.hasRoomFor(bytes, this.#unhandled)) {
       counters.dropped += 1
       return false
     }
-    this.#untaken += 1
-    this.tell({ kind: PeerLinkEventKind.EnvelopeQueued, envelope: packed, bytes })
+    this.#unhandled += 1
+    this.tell({ kind: PeerLinkEventKind.EnvelopeQueued, envelope: encoded, bytes })
     return true
   }
 
@@ -171,13 +171,15 @@
     }
   }
 
-  /** A handler that throws must not end the fiber of the link. */
+  /** Catches errors of handlers, which must not end the fiber of the link. */
   #callHandler(call: () => void): void {
     try {
       call()
     } catch (err) {
       this.options.counters.handlerErrors += 1
-      this.options.handlers.log(`handler of ${this.options.peer} failed: ${String(err)}`)
+      this.options.handlers.log(
+        `link state handler for ${this.options.peer} failed: ${String(err)}`,
+      )
     }
   }
 
@@ -198,7 +200,7 @@
       },
     })
     this.#connections.set(id, connection)
-    // The promise never rejects, and it ends when the connection is closed.
+    // The promise never rejects, and it settles when the connection is closed.
     void connection.run().then((end) => {
       this.#connections.delete(id)
       this.tell({ kind: PeerLinkEventKind.ConnectionClosed, connection: id, ...end })
@@ -206,8 +208,8 @@
   }
 }
 
-/** Messages that are sent most are written already here, so that what waits is one text each. */
-function pack(envelope: Envelope): Envelope {
+/** Encodes the most frequent messages early, so that each of them is queued as a single string. */
+function encodeBody(envelope: Envelope): Envelope {
   const text = encodeText(envelope.body)
   return text === undefined ? envelope : wrapMessage({ case: 'text', value: text })
 }
--- a/packages/rpc/src/lib/server/BatchReceiver.ts
+++ b/packages/rpc/src/lib/server/BatchReceiver.ts
@@ -5,7 +5,7 @@
 import { GatherPace, systemClock } from '@cherryhitch/runtime'
 import { Code, ConnectError } from '@connectrpc/connect'
 import type { HandlerContext } from '@connectrpc/connect'
-import { BatchFeed } from '../feed/BatchFeed'
+import { AsyncQueue } from '../queue/AsyncQueue'
 import { deliverEnvelope } from '../host/deliverEnvelope'
 import type { DeliveryOptions } from '../host/deliverEnvelope'
 import { Inbox, InboxVerdict } from './Inbox'
@@ -13,7 +13,7 @@
 
 /** @internal */
 export interface BatchReceiverOptions extends DeliveryOptions {
-  /** Boot of this process, which its receipts name. */
+  /** Boot number of this process, which is sent in receipts. */
   readonly boot: number
   readonly token: string | undefined
   readonly maxSenders: number
@@ -27,7 +27,7 @@
   [InboxVerdict.Full]: Code.ResourceExhausted,
 }
 
-/** Takes in the streams of all senders. A stream that breaks a rule ends alone. @internal */
+/** Receives the streams of all senders. A protocol error ends only its own stream. @internal */
 export class BatchReceiver {
   readonly #inbox: Inbox
   #lastStream = 0
@@ -36,49 +36,53 @@
     this.#inbox = new Inbox(options.maxSenders)
   }
 
-  /** Handler of `LinkService.Exchange`: receipts for the batches, see `LinkTuning.receiptGapMs`. */
+  /** Handler of `LinkService.Exchange`. For the rate of receipts, see `LinkTuning.receiptGapMs`. */
   async *exchange(
     batches: AsyncIterable<EnvelopeBatch>,
     context: HandlerContext,
   ): AsyncGenerator<BatchReceipt> {
     this.#authorise(context.requestHeader.get('authorization'))
-    const receipts = new BatchFeed<BatchReceipt>()
+    const receipts = new AsyncQueue<BatchReceipt>()
     const reading = this.#read(batches, receipts)
-    // Whoever leaves the receipts early has closed the stream, and asks for no error any more.
+    // Prevents an unhandled rejection if the client closes the stream before the loop has ended.
     reading.catch(() => undefined)
     yield* receipts
     await reading
   }
 
-  /** Takes batches in until the stream ends; fails as soon as one breaks a rule. */
+  /** Receives batches until the stream ends; fails on the first protocol error. */
   async #read(
     batches: AsyncIterable<EnvelopeBatch>,
-    receipts: BatchFeed<BatchReceipt>,
+    receipts: AsyncQueue<BatchReceipt>,
   ): Promise<void> {
-    const pace = new GatherPace(this.options.receiptGapMs)
+    const pacer = new GatherPace(this.options.receiptGapMs)
     let first: EnvelopeBatch | undefined
     let stream = 0
     try {
       for await (const batch of batches) {
         if (first === undefined) {
           first = batch
-          stream = this.#open(batch)
+          stream = this.#openStream(batch)
         }
-        this.#take(first, batch, stream)
-        this.#answer(batch, pace, receipts)
+        this.#handleBatch(first, batch, stream)
+        this.#scheduleReceipt(batch, pacer, receipts)
       }
     } finally {
       receipts.end()
     }
   }
 
-  #answer({ from }: EnvelopeBatch, pace: GatherPace, receipts: BatchFeed<BatchReceipt>): void {
+  #scheduleReceipt(
+    { from }: EnvelopeBatch,
+    pacer: GatherPace,
+    receipts: AsyncQueue<BatchReceipt>,
+  ): void {
     const send = (): void => {
-      pace.noteSent(systemClock.now())
+      pacer.noteSent(systemClock.now())
       const sequence = this.#inbox.highest(from)
       receipts.push(create(BatchReceiptSchema, { sequence, fromBoot: this.options.boot }))
     }
-    const waitMs = pace.note(systemClock.now())
+    const waitMs = pacer.note(systemClock.now())
     if (waitMs === undefined) return
     if (waitMs === 0) send()
     else setTimeout(send, waitMs)
@@ -87,23 +91,23 @@
   #authorise(header: string | null): void {
     const { token } = this.options
     if (token === undefined || tokenMatches(header, token)) return
-    throw this.#refuse('wrong or missing token', Code.Unauthenticated)
+    throw this.#createRefusal('wrong or missing token', Code.Unauthenticated)
   }
 
-  #open(batch: EnvelopeBatch): number {
+  #openStream(batch: EnvelopeBatch): number {
     const { from, fromBoot } = batch
     if (!isValidName(from) || !isCount(fromBoot)) {
-      throw this.#refuse('malformed sender', Code.InvalidArgument)
+      throw this.#createRefusal('malformed sender', Code.InvalidArgument)
     }
     this.#lastStream += 1
     this.#check(this.#inbox.open(systemClock.now(), from, fromBoot, this.#lastStream), batch)
     return this.#lastStream
   }
 
-  #take(first: EnvelopeBatch, batch: EnvelopeBatch, stream: number): void {
+  #handleBatch(first: EnvelopeBatch, batch: EnvelopeBatch, stream: number): void {
     const { from, fromBoot, sequence, envelopes } = batch
     if (from !== first.from || fromBoot !== first.fromBoot || !isCount(sequence)) {
-      throw this.#refuse(`malformed batch from ${first.from}`, Code.InvalidArgument)
+      throw this.#createRefusal(`malformed batch from ${first.from}`, Code.InvalidArgument)
     }
     const isEmpty = envelopes.length === 0
     const arrived = { from, boot: fromBoot, stream, sequence, isEmpty }
@@ -122,21 +126,21 @@
       this.options.handlers.onStaleBoot?.(from, fromBoot)
       throw new ConnectError(verdict, code)
     }
-    throw this.#refuse(`${from}: ${verdict}`, code)
+    throw this.#createRefusal(`${from}: ${verdict}`, code)
   }
 
   #deliver({ from, fromBoot, envelopes }: EnvelopeBatch): void {
     for (const envelope of envelopes) deliverEnvelope(this.options, from, fromBoot, envelope)
   }
 
-  #refuse(message: string, code: Code): ConnectError {
+  #createRefusal(message: string, code: Code): ConnectError {
     this.options.counters.refusedStreams += 1
     this.options.handlers.log(`stream refused: ${message}`)
     return new ConnectError(message, code)
   }
 }
 
-/** Numbers of batches and boots are whole and exact. */
+/** Whether a sequence or boot number is a non-negative integer that is exact as a double. */
 function isCount(value: number): boolean {
   return Number.isSafeInteger(value) && value >= 0
 }
--- a/packages/rpc/src/lib/server/Inbox.test.ts
+++ b/packages/rpc/src/lib/server/Inbox.test.ts
@@ -4,12 +4,12 @@
 
 const { Deliver, Duplicate, StaleBoot, Superseded, Full } = InboxVerdict
 
-/** boot, stream, sequence, empty?, and what is to become of it. */
+/** Boot number, stream, sequence, whether the batch is empty, and the expected verdict. */
 type Step = readonly [number, number, number, boolean, InboxVerdict]
 
-const stories: readonly { name: string; steps: readonly Step[]; highest: number }[] = [
+const cases: readonly { name: string; steps: readonly Step[]; highest: number }[] = [
   {
-    name: 'delivers rising sequences, with gaps',
+    name: 'delivers increasing sequences, with gaps',
     steps: [
       [1, 1, 1, false, Deliver],
       [1, 1, 2, false, Deliver],
@@ -18,7 +18,7 @@
     highest: 7,
   },
   {
-    name: 'drops what a new stream sends again',
+    name: 'drops batches that a new stream sends again',
     steps: [
       [1, 1, 1, false, Deliver],
       [1, 1, 2, false, Deliver],
@@ -29,7 +29,7 @@
     highest: 3,
   },
   {
-    name: 'ignores an old stream that comes back to life',
+    name: 'refuses batches from a superseded stream',
     steps: [
       [1, 1, 1, false, Deliver],
       [1, 2, 1, true, Deliver],
@@ -38,7 +38,7 @@
     highest: 1,
   },
   {
-    name: 'never delivers what the sender gave up',
+    name: 'never delivers batches that the sender dropped',
     steps: [
       [1, 1, 5, true, Deliver],
       [1, 1, 4, false, Duplicate],
@@ -47,7 +47,7 @@
     highest: 6,
   },
   {
-    name: 'starts anew with the next boot, and refuses the earlier one',
+    name: 'restarts sequences with the next boot number, and refuses the earlier one',
     steps: [
       [1, 1, 9, false, Deliver],
       [2, 2, 1, false, Deliver],
@@ -58,7 +58,7 @@
 ]
 
 describe('Inbox', () => {
-  for (const { name, steps, highest } of stories) {
+  for (const { name, steps, highest } of cases) {
     it(name, () => {
       const inbox = new Inbox(2)
       const opened = new Set<number>()
@@ -71,7 +71,7 @@
     })
   }
 
-  it('refuses streams of an earlier boot, and senders beyond its limit', () => {
+  it('refuses streams with a lower boot number, and senders beyond its limit', () => {
     const inbox = new Inbox(2)
     assert.equal(inbox.open(0, 'a', 2, 1), Deliver)
     assert.equal(inbox.open(0, 'a', 1, 2), StaleBoot)
@@ -80,7 +80,7 @@
     assert.equal(inbox.open(0, 'a', 3, 5), Deliver)
   })
 
-  it('lets a process with a lower boot in once the earlier one was silent for long', () => {
+  it('accepts a lower boot number after the retention period', () => {
     const inbox = new Inbox(2)
     assert.equal(inbox.open(0, 'a', 9, 1), Deliver)
     const batch = { from: 'a', boot: 9, stream: 1, sequence: 1, isEmpty: false }
@@ -88,6 +88,6 @@
     assert.equal(inbox.open(4_000, 'a', 5, 2), StaleBoot)
     assert.equal(inbox.open(4_001, 'a', 5, 3), Deliver)
     const later = { ...batch, boot: 5, stream: 3 }
-    assert.equal(inbox.accept(4_002, later), Deliver, 'its sequences start anew')
+    assert.equal(inbox.accept(4_002, later), Deliver, 'its sequences restart')
   })
 })
--- a/packages/rpc/src/lib/server/Inbox.ts
+++ b/packages/rpc/src/lib/server/Inbox.ts
@@ -1,23 +1,24 @@
-/** What becomes of a batch that came in. */
+/** How an incoming batch or stream is handled. */
 export enum InboxVerdict {
   Deliver = 'deliver',
-  /** Delivered before, over this stream or an earlier one. */
+  /** Already delivered, over this stream or an earlier one, or dropped by the sender. */
   Duplicate = 'duplicate',
-  /** A newer process of the sender was seen. */
+  /** A newer process of the sender has connected. */
   StaleBoot = 'stale boot',
-  /** The sender's process has a newer stream. */
+  /** The sender's process has opened a newer stream. */
   Superseded = 'superseded',
-  /** The sender is not known and there is no room to remember it. */
+  /** The sender is unknown, and the limit of tracked senders is reached. */
   Full = 'too many senders',
 }
 
 /**
- * A sender that was silent for longer is gone: a living one is heard some times a second. Boots
- * come from the time of day, which may have been set back since the last process started.
+ * How long a sender's boot number is enforced after its last batch. A live sender sends several
+ * batches a second, so one that was silent for longer has ended. Boot numbers are derived from the
+ * wall clock, which may have been set back since, so a lower number must then be accepted.
  */
-const FORGET_BOOT_MS = 3_000
+const BOOT_RETENTION_MS = 3_000
 
-/** What decides about a batch. */
+/** The properties of a batch that decide whether it is delivered. */
 export interface ArrivedBatch {
   readonly from: string
   readonly boot: number
@@ -28,29 +29,29 @@
 
 interface Sender {
   readonly boot: number
-  /** Number of the stream that is listened to. */
+  /** Number of the stream from which batches are accepted. */
   stream: number
-  /** Highest sequence delivered, or given up by the sender. */
+  /** Highest sequence delivered, or dropped by the sender. */
   highest: number
   heardAt: number
 }
 
 /**
- * Decides which batches are delivered, so that each arrives at most once and in order.
+ * Decides which batches are delivered, so that each is delivered at most once and in order.
  *
- * It remembers one line per sender name, not per stream: sequences go on over the streams of
- * one process, and start anew with the next boot.
+ * It keeps one record per sender, not per stream: sequence numbers continue across the streams of
+ * one process, and restart with the next boot number.
  */
 export class Inbox {
   readonly #senders = new Map<string, Sender>()
 
   constructor(private readonly maxSenders: number) {}
 
-  /** Makes a stream the one that is listened to. Stream numbers rise. */
+  /** Makes a stream the only one accepted from its sender. Stream numbers must increase. */
   open(now: number, from: string, boot: number, stream: number): InboxVerdict {
     const known = this.#senders.get(from)
     if (known === undefined && this.#senders.size >= this.maxSenders) return InboxVerdict.Full
-    if (known !== undefined && boot < known.boot && now - known.heardAt <= FORGET_BOOT_MS) {
+    if (known !== undefined && boot < known.boot && now - known.heardAt <= BOOT_RETENTION_MS) {
       return InboxVerdict.StaleBoot
     }
     if (known?.boot === boot) known.stream = stream
@@ -58,7 +59,7 @@
     return InboxVerdict.Deliver
   }
 
-  /** Takes one batch in. An empty one only says below which sequence nothing will come. */
+  /** Handles one batch. An empty batch states that no sequence up to its own will be sent again. */
   accept(now: number, { from, boot, stream, sequence, isEmpty }: ArrivedBatch): InboxVerdict {
     const sender = this.#senders.get(from)
     if (sender === undefined || boot < sender.boot) return InboxVerdict.StaleBoot
@@ -71,7 +72,7 @@
     return InboxVerdict.Deliver
   }
 
-  /** The sequence that a receipt to the sender names. */
+  /** The sequence for a receipt to the sender. */
   highest(from: string): number {
     return this.#senders.get(from)?.highest ?? 0
   }
--- a/packages/rpc/src/lib/server/listenForLinks.ts
+++ b/packages/rpc/src/lib/server/listenForLinks.ts
@@ -18,19 +18,19 @@
   readonly counters: LinkCounters
 }
 
-/** Flow-control window: larger than a usual batch, so that one batch is not sent in steps. */
+/** Flow-control window, larger than a usual batch, so that a batch needs no window update. */
 const WINDOW_BYTES = 2 * 1024 * 1024
-/** Room for the fields of a batch beside its envelopes. */
+/** Upper bound for the fields of a batch other than its envelopes. */
 const BATCH_HEADER_BYTES = 1024
 
-/** Opens the listening socket; returns its port. It closes with the scope. @internal */
+/** Opens the listening socket, which closes with the scope; returns its port. @internal */
 export function listenForLinks(
   options: ListenOptions,
 ): Effect.Effect<number, LinkError, Scope.Scope> {
   return Effect.gen(function* () {
     const sessions = new Set<http2.ServerHttp2Session>()
     const server = createServer(options)
-    watchSessions(server, sessions, options)
+    trackSessions(server, sessions, options)
     yield* Effect.acquireRelease(listen(server, options), () => closeServer(server, sessions))
     return (server.address() as AddressInfo).port
   })
@@ -55,7 +55,7 @@
   return http2.createSecureServer({ settings, ...tls, ...mutual }, handler)
 }
 
-function watchSessions(
+function trackSessions(
   server: http2.Http2Server,
   sessions: Set<http2.ServerHttp2Session>,
   { tuning, counters }: ListenOptions,
@@ -68,7 +68,7 @@
     })
     session.on('close', () => sessions.delete(session))
   })
-  // Resets by a sender that gave up, and peers that do not speak HTTP/2, are everyday events.
+  // Expected errors: resets by a sender that closes a connection, and clients without HTTP/2.
   server.on('sessionError', () => {
     counters.failedSessions += 1
   })
