--- a/packages/rpc/src/lib/peer/PeerLink.ts
+++ b/packages/rpc/src/lib/peer/PeerLink.ts
@@ -151,7 +151,7 @@
     }
   }
 
-  /** While the peer is down, a full queue drops its oldest envelopes in favor of new ones. */
+  /** While the peer is down, a full queue drops its oldest envelopes: newer ones are worth more. */
   #enqueue(now: number, { envelope, bytes }: { envelope: Envelope; bytes: number }): void {
     const { counters } = this.options
     while (!this.outbox.hasRoomFor(bytes) && !this.#up && this.outbox.size > 0) {
@@ -296,7 +296,7 @@
     this.#disconnectedAt = now
     this.#failures = wasStable ? 0 : this.#failures + 1
     this.#nextDialAt = now + this.#dialDelay(event.refused)
-    // No dial if a candidate is already being dialled.
+    // No new dial if there is a candidate: it becomes the new connection.
     return [this.#log(`connection lost: ${event.reason}`), ...this.#dialIfDue(now)]
   }
 
--- a/packages/rpc/src/lib/server/BatchReceiver.ts
+++ b/packages/rpc/src/lib/server/BatchReceiver.ts
@@ -44,7 +44,7 @@
     this.#authorise(context.requestHeader.get('authorization'))
     const receipts = new AsyncQueue<BatchReceipt>()
     const reading = this.#read(batches, receipts)
-    // Prevents an unhandled rejection if the client closes the stream before the loop has ended.
+    // Prevents an unhandled rejection if the client closes the stream before this is awaited.
     reading.catch(() => undefined)
     yield* receipts
     await reading
