--- a/apps/bench/src/capacity/measureMembershipSlopes.ts
+++ b/apps/bench/src/capacity/measureMembershipSlopes.ts
@@ -59,7 +59,7 @@
       if (action.kind === MembershipActionKind.ViewChanged) views++
     }
   }
-  const { heartbeatMs, farHeartbeatMs } = defaultMembershipTiming
+  const { heartbeatMs, crossZoneHeartbeatMs: farHeartbeatMs } = defaultMembershipTiming
   const us = processorUs(() => {
     for (let now = from; now < from + RUN_MS; now += TICK_MS) {
       if (now % OFFER_MS === 0) {
--- a/apps/bench/src/joint/EndpointRequests.ts
+++ b/apps/bench/src/joint/EndpointRequests.ts
@@ -1,7 +1,7 @@
 import type { OwnerAction, OwnerEvent, RunTaskAction } from '@cherryhitch/owner'
 import { OwnerActionKind, OwnerEventKind, RunResultKind, StopState } from '@cherryhitch/owner'
 import type { SeededRandom } from '@cherryhitch/stand-ins'
-import type { Agenda } from '@cherryhitch/runtime'
+import type { EventScheduler } from '@cherryhitch/runtime'
 import type { JointEndpoint } from './JointEndpoint'
 import { runResult } from './JointEndpoint'
 import type { JointProcess } from './JointProcess'
@@ -24,7 +24,7 @@
   private readonly outstanding = new Map<string, () => void>()
 
   constructor(
-    private readonly agenda: Agenda,
+    private readonly agenda: EventScheduler,
     private readonly random: SeededRandom,
     private readonly endpoints: readonly JointEndpoint[],
   ) {}
@@ -138,7 +138,12 @@
     }
     case OwnerActionKind.RenewLeases: {
       const asked = question.taskIds
-      return { kind: OwnerEventKind.LeasesRenewed, endpoint, asked, known: undefined }
+      return {
+        kind: OwnerEventKind.LeasesRenewed,
+        endpoint,
+        taskIds: asked,
+        knownTaskIds: undefined,
+      }
     }
     default:
       return { kind: OwnerEventKind.ProbeEnded, endpoint, alive: false }
--- a/apps/bench/src/joint/JointCluster.ts
+++ b/apps/bench/src/joint/JointCluster.ts
@@ -4,7 +4,7 @@
 import { OwnerEventKind } from '@cherryhitch/owner'
 import type { Envelope, KeyClaim, PresetDefinition } from '@cherryhitch/protocol'
 import { SeededRandom } from '@cherryhitch/stand-ins'
-import { Agenda } from '@cherryhitch/runtime'
+import { EventScheduler } from '@cherryhitch/runtime'
 import { breakEnvelope } from './breakEnvelope'
 import { JointChecks, assertThat } from './JointChecks'
 import { JointEndpoint } from './JointEndpoint'
@@ -29,7 +29,7 @@
 
 /** Machines, endpoints, network and claims of one run, under the run's own clock. */
 export class JointCluster {
-  readonly agenda = new Agenda()
+  readonly agenda = new EventScheduler()
   readonly checks = new JointChecks()
   readonly random: SeededRandom
   readonly network: JointNetwork
--- a/apps/bench/src/joint/JointEndpoint.ts
+++ b/apps/bench/src/joint/JointEndpoint.ts
@@ -76,7 +76,13 @@
     if (action.kind === OwnerActionKind.RenewLeases) {
       const asked = action.taskIds
       const known = asked.filter((taskId) => this.renew(taskId, now + action.leaseMs))
-      answer({ kind: OwnerEventKind.LeasesRenewed, endpoint, asked, known, boot: this.boot })
+      answer({
+        kind: OwnerEventKind.LeasesRenewed,
+        endpoint,
+        taskIds: asked,
+        knownTaskIds: known,
+        boot: this.boot,
+      })
     }
     if (action.kind === OwnerActionKind.Probe) {
       answer({ kind: OwnerEventKind.ProbeEnded, endpoint, alive: true })
--- a/apps/bench/src/joint/JointNetwork.ts
+++ b/apps/bench/src/joint/JointNetwork.ts
@@ -1,6 +1,6 @@
 import type { SeededRandom } from '@cherryhitch/stand-ins'
 import type { Envelope } from '@cherryhitch/protocol'
-import type { Agenda } from '@cherryhitch/runtime'
+import type { EventScheduler } from '@cherryhitch/runtime'
 
 /** An envelope on its way from one process to an instance, whichever process that has by then. */
 export interface JointMessage {
@@ -43,7 +43,7 @@
   private readonly newestBoot = new Map<string, number>()
 
   constructor(
-    private readonly agenda: Agenda,
+    private readonly agenda: EventScheduler,
     private readonly random: SeededRandom,
     private readonly receivers: JointReceivers,
   ) {}
--- a/apps/cherryhitch/src/lib/dispatching/CallerRequests.ts
+++ b/apps/cherryhitch/src/lib/dispatching/CallerRequests.ts
@@ -1,5 +1,5 @@
 import { ClientService } from '@cherryhitch/platform'
-import type { ClientPlace } from '@cherryhitch/platform'
+import type { RequestContext } from '@cherryhitch/platform'
 import { RelayEventKind } from '@cherryhitch/dispatch'
 import type { RelayEvent } from '@cherryhitch/dispatch'
 import { JobVerdict } from '@cherryhitch/protocol'
@@ -8,7 +8,7 @@
 import { Effect } from 'effect'
 
 interface OpenRequest {
-  readonly context: ClientPlace
+  readonly context: RequestContext
   readonly done: (outcome: JobOutcome) => void
 }
 
@@ -38,19 +38,19 @@
     return this.open.size
   }
 
-  override submit(context: ClientPlace, spec: SteppedJob): Effect.Effect<JobOutcome> {
+  override submit(context: RequestContext, spec: SteppedJob): Effect.Effect<JobOutcome> {
     return this.relay(context, (requestId) => {
       return { kind: RelayEventKind.Submit, requestId, spec, ...context }
     })
   }
 
-  override ask(context: ClientPlace, question: JobQuestionKind): Effect.Effect<JobOutcome> {
+  override queryJob(context: RequestContext, question: JobQuestionKind): Effect.Effect<JobOutcome> {
     return this.relay(context, (requestId) => {
       return { kind: RelayEventKind.Ask, requestId, question, ...context }
     })
   }
 
-  override noteRefusal(context: ClientPlace, reason: string): void {
+  override reportRefusal(context: RequestContext, reason: string): void {
     const { host, path } = context
     this.options.log.info('a request was refused unread', { host, path, reason })
   }
@@ -70,7 +70,7 @@
 
   /** Completes when the outcome arrives; an interruption means that the caller has disconnected. */
   private relay(
-    context: ClientPlace,
+    context: RequestContext,
     toEvent: (requestId: string) => RelayEvent,
   ): Effect.Effect<JobOutcome> {
     return Effect.callback((resume) => {
@@ -86,14 +86,14 @@
     })
   }
 
-  private abandon(requestId: string, { host, path, receivedAt }: ClientPlace): void {
+  private abandon(requestId: string, { host, path, receivedAt }: RequestContext): void {
     if (!this.open.delete(requestId)) return
     const ms = Math.round(this.options.now() - receivedAt)
     this.options.log.info('a caller left before its answer', { host, path, ms })
     this.options.tell({ kind: RelayEventKind.Abandon, requestId })
   }
 
-  private recordAnswer(context: ClientPlace, outcome: JobOutcome, attempts: number): void {
+  private recordAnswer(context: RequestContext, outcome: JobOutcome, attempts: number): void {
     const { host, path, receivedAt, deadlineAt } = context
     const { requestId, verdict, reason, term, retryAfterMs } = outcome
     const now = this.options.now()
--- a/apps/cherryhitch/src/lib/dispatching/ControlRequestHandler.ts
+++ b/apps/cherryhitch/src/lib/dispatching/ControlRequestHandler.ts
@@ -58,20 +58,20 @@
     })
   }
 
-  override takeNotice(notice: EndpointNotice): Effect.Effect<boolean> {
+  override acceptNotice(notice: EndpointNotice): Effect.Effect<boolean> {
     return this.options.notices.acceptNotice(notice)
   }
 
-  override noticeAddress(): string | undefined {
+  override heartbeatAddress(): string | undefined {
     const leader = this.options.leader()
     return leader === '' ? undefined : `${hostOf(leader)}:${this.options.controlPort}`
   }
 
-  override noteInvalidRouting(reason: string): void {
+  override reportInvalidRouting(reason: string): void {
     this.options.log.warn('rejected an invalid routing configuration', { reason })
   }
 
-  override noteInvalidNotice(endpoint: string, reason: string): void {
+  override reportInvalidNotice(endpoint: string, reason: string): void {
     const now = this.options.now()
     const loggedAt = this.invalidLoggedAt.get(endpoint) ?? -Infinity
     if (now - loggedAt < INVALID_NOTICE_LOG_INTERVAL_MS) return
--- a/apps/cherryhitch/src/lib/dispatching/DispatchParts.ts
+++ b/apps/cherryhitch/src/lib/dispatching/DispatchParts.ts
@@ -24,16 +24,16 @@
   receive(from: string, boot: number, { body }: Envelope): void {
     switch (body.case) {
       case 'submitJob':
-        this.#dispatch({ kind: DispatchEventKind.Submit, from, req: body.value })
+        this.#dispatch({ kind: DispatchEventKind.SubmitJob, from, req: body.value })
         return
       case 'askJob':
-        this.#dispatch({ kind: DispatchEventKind.Ask, from, req: body.value })
+        this.#dispatch({ kind: DispatchEventKind.QueryJob, from, req: body.value })
         return
       case 'abandonJob':
-        this.#dispatch({ kind: DispatchEventKind.Abandon, from, req: body.value })
+        this.#dispatch({ kind: DispatchEventKind.AbandonJob, from, req: body.value })
         return
       case 'unansweredJobs':
-        this.#dispatch({ kind: DispatchEventKind.Unanswered, req: body.value })
+        this.#dispatch({ kind: DispatchEventKind.UnansweredJobs, req: body.value })
         return
       case 'endpointOrders':
       case 'endpointAnswers':
@@ -61,7 +61,7 @@
   /** A job outcome was sent to an instance, which learns from it that the leader is alive. */
   onOutcomeSent(to: string): void {
     this.discovery.use((part) => {
-      part.tell({ kind: DiscoveryEventKind.Answered, to })
+      part.tell({ kind: DiscoveryEventKind.LeaderMessageSent, to })
     })
   }
 
@@ -101,7 +101,7 @@
       if (body.case === 'announceInstance') {
         part.tell({ kind: DiscoveryEventKind.Announced, from, announcement: body.value })
       } else {
-        part.tell({ kind: DiscoveryEventKind.Told, from, directory: body.value })
+        part.tell({ kind: DiscoveryEventKind.DirectoryReceived, from, directory: body.value })
       }
     })
   }
--- a/apps/cherryhitch/src/lib/dispatching/NoticeExchange.ts
+++ b/apps/cherryhitch/src/lib/dispatching/NoticeExchange.ts
@@ -1,6 +1,6 @@
 import { create } from '@bufbuild/protobuf'
 import { DispatchEventKind } from '@cherryhitch/dispatch'
-import type { DispatchEvent, DispatchMachine, LossNews } from '@cherryhitch/dispatch'
+import type { DispatchEvent, DispatchMachine, LossUpdate } from '@cherryhitch/dispatch'
 import { EndpointNoticesSchema, envelope, NoticeState } from '@cherryhitch/protocol'
 import type {
   EndpointNotice,
@@ -70,9 +70,9 @@
   acceptNotice(notice: EndpointNotice): Effect.Effect<boolean> {
     const { options } = this
     const { machine } = options
-    const changesDirectory = machine.isNews(notice)
+    const changesDirectory = machine.changesEndpoint(notice)
     const isLeaving = notice.state !== NoticeState.SERVING
-    const isHonored = machine.heeds(notice)
+    const isHonored = machine.honorsLeaving(notice)
     options.tell({ kind: DispatchEventKind.Notice, notice })
     if (isLeaving && machine.leads && !isHonored) return Effect.succeed(false)
     if (!isLeaving || machine.leads) {
@@ -89,7 +89,7 @@
   onNotices(from: string, message: EndpointNotices): void {
     const { machine, send } = this.options
     const { requestId, notices } = message
-    const isHonored = notices.every((notice) => machine.heeds(notice))
+    const isHonored = notices.every((notice) => machine.honorsLeaving(notice))
     this.applyDirectory(message)
     if (requestId === '') return
     const value = { requestId, byLeader: machine.leads && isHonored }
@@ -140,7 +140,7 @@
   }
 
   /** Sends losses of endpoints to all instances that may become leader. */
-  broadcastLosses({ lost, possible }: LossNews): void {
+  broadcastLosses({ lost, possible }: LossUpdate): void {
     this.sendToPeers(create(EndpointNoticesSchema, { lost: [...lost], possible: [...possible] }))
   }
 
@@ -158,7 +158,7 @@
   private applyDirectory({ notices, lost, possible }: EndpointDirectory): void {
     const { tell } = this.options
     const hasLosses = lost.length + possible.length > 0
-    if (hasLosses) tell({ kind: DispatchEventKind.Loss, news: { lost, possible } })
+    if (hasLosses) tell({ kind: DispatchEventKind.EndpointLosses, losses: { lost, possible } })
     for (const notice of notices) tell({ kind: DispatchEventKind.Notice, notice })
   }
 
@@ -171,11 +171,15 @@
     const { term, needed, complete, followed } = this.readProgress
     if (followed.size >= needed) {
       const followedUntil = Math.max(...followed.values())
-      this.options.tell({ kind: DispatchEventKind.EarlierLeaders, term, followedUntil })
+      this.options.tell({
+        kind: DispatchEventKind.EarlierLeadersConfirmed,
+        term,
+        confirmedUntil: followedUntil,
+      })
     }
     if (complete.size < needed) return
     this.readProgress = undefined
-    this.options.tell({ kind: DispatchEventKind.DirectoryRead, term })
+    this.options.tell({ kind: DispatchEventKind.DirectoryComplete, term })
   }
 
   private addToBatch(notice: EndpointNotice): void {
--- a/apps/cherryhitch/src/lib/dispatching/runDispatch.ts
+++ b/apps/cherryhitch/src/lib/dispatching/runDispatch.ts
@@ -4,7 +4,7 @@
 import { splitAddress } from '@cherryhitch/model'
 import { startControlServer, WorkerGateway } from '@cherryhitch/platform'
 import type { Envelope } from '@cherryhitch/protocol'
-import { startPacedTimer, startTimer } from '@cherryhitch/runtime'
+import { startVariableTimer, startTimer } from '@cherryhitch/runtime'
 import type { DispatchSettings } from '@cherryhitch/settings'
 import { RealDisk } from '@cherryhitch/storage'
 import type { Disk } from '@cherryhitch/storage'
@@ -85,7 +85,7 @@
     yield* startDirectoryStore(context, parts, dispatcher, disk)
     const control = yield* startVoter(context, parts, dispatcher, disk, send)
     const discovery = yield* startDiscovery(context, { hostsVoter: true, links }, (peer) => {
-      control.notePeer(peer, 0)
+      control.observePeer(peer, 0)
       parts.notices.use((notices) => {
         notices.sendDirectoryTo(peer)
       })
@@ -107,7 +107,7 @@
     log.info('stopping', { why, leads, openJobs })
     server.closeAfterAnswers()
     discovery.tell({ kind: DiscoveryEventKind.Leaving })
-    control.handOver()
+    control.transferLeadership()
     yield* Effect.sleep(HANDOVER_GRACE_MS)
     server.stopAccepting()
     yield* links.drain(HANDOVER_GRACE_MS)
@@ -153,12 +153,12 @@
     disk,
     log,
     currentDirectory: () => endpointDirectoryOf(machine, now()),
-    lossChanges: () => machine.lossChanges,
+    lossChanges: () => machine.lossRevision,
   })
   parts.directoryStore.bind(store)
   return Effect.gen(function* () {
     const { notices, ...news } = yield* store.read()
-    tell({ kind: DispatchEventKind.Loss, news })
+    tell({ kind: DispatchEventKind.EndpointLosses, losses: news })
     for (const notice of notices) tell({ kind: DispatchEventKind.Notice, notice })
     yield* startTimer(DIRECTORY_CHECK_INTERVAL_MS, () => {
       store.tick(now())
@@ -191,12 +191,12 @@
   const registration = new LearnerRegistration({ instance, boot, control, now, log })
   let lastLeader = ''
   let changedAt = now()
-  return startPacedTimer(() => {
-    dispatcher.tell({ kind: DispatchEventKind.Confirmed, at: control.confirmedAt() })
+  return startVariableTimer(() => {
+    dispatcher.tell({ kind: DispatchEventKind.LeadershipConfirmed, at: control.confirmedAt() })
     const voters = votersOf(control, dispatcher.machine, instance)
     discovery.tell({ kind: DiscoveryEventKind.Voters, ...voters })
     const members = control.status()?.members ?? []
-    dispatcher.setProxies(reachableProxies(discovery.machine.helpers(now()), members))
+    dispatcher.setProxies(reachableProxies(discovery.machine.proxyCandidates(now()), members))
     registration.tick()
     if (voters.leader !== lastLeader) {
       lastLeader = voters.leader
--- a/apps/cherryhitch/src/lib/dispatching/runEntry.ts
+++ b/apps/cherryhitch/src/lib/dispatching/runEntry.ts
@@ -51,7 +51,7 @@
     } else if (body.case === 'instanceDirectory') {
       const directory = body.value
       this.discovery.use((part) => {
-        part.tell({ kind: DiscoveryEventKind.Told, from, directory })
+        part.tell({ kind: DiscoveryEventKind.DirectoryReceived, from, directory })
       })
     }
   }
@@ -65,7 +65,7 @@
   private noteLeaderAnswer(from: string, { verdict, term }: JobOutcome): void {
     if (verdict === JobVerdict.NOT_LEADER || verdict === JobVerdict.LEADER_LOST) return
     this.discovery.use((part) => {
-      part.tell({ kind: DiscoveryEventKind.Heard, from, term })
+      part.tell({ kind: DiscoveryEventKind.LeaderMessageReceived, from, term })
     })
   }
 
@@ -98,7 +98,7 @@
       parts.tellRelay({ kind: RelayEventKind.Leader, leader, term })
     }
     const onQuorumUnreachable = (): void => {
-      parts.tellRelay({ kind: RelayEventKind.NoLeaderInReach })
+      parts.tellRelay({ kind: RelayEventKind.QuorumUnreachable })
     }
     const discovery = { hostsVoter: false, links, onLeader, onQuorumUnreachable }
     parts.discovery.bind(yield* startDiscovery(context, discovery))
--- a/apps/cherryhitch/src/lib/dispatching/startDiscovery.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startDiscovery.ts
@@ -58,7 +58,7 @@
         logLeader(log, action.leader, action.term)
         onLeader?.(action.leader, action.term)
         return
-      case DiscoveryActionKind.NoLeaderInReach:
+      case DiscoveryActionKind.QuorumUnreachable:
         log.info('no majority of the voter hosts is reachable', { hosts: machine.voterHosts })
         onQuorumUnreachable?.()
         return
--- a/apps/cherryhitch/src/lib/dispatching/startDispatchPart.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startDispatchPart.ts
@@ -31,12 +31,12 @@
     machine,
     gateway,
     send,
-    spread: (notice) => {
+    broadcastNotice: (notice) => {
       parts.notices.use((notices) => {
         notices.broadcastNotice(notice)
       })
     },
-    spreadLosses: (news) => {
+    broadcastLosses: (news) => {
       parts.notices.use((notices) => {
         notices.broadcastLosses(news)
       })
--- a/apps/cherryhitch/src/lib/dispatching/startVoter.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startVoter.ts
@@ -79,7 +79,11 @@
         dispatcher.tell({ kind: DispatchEventKind.StepDown })
         return
       }
-      dispatcher.tell({ kind: DispatchEventKind.Lead, term, table: routingTableOf(routing) })
+      dispatcher.tell({
+        kind: DispatchEventKind.BecomeLeader,
+        term,
+        table: routingTableOf(routing),
+      })
       parts.readDirectories(term)
     },
   })
--- a/apps/cherryhitch/src/lib/dispatching/startWarmUp.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startWarmUp.ts
@@ -1,5 +1,5 @@
-import { Rehearsal } from '@cherryhitch/dispatch'
-import { startPacedTimer } from '@cherryhitch/runtime'
+import { LeaderWarmup } from '@cherryhitch/dispatch'
+import { startVariableTimer } from '@cherryhitch/runtime'
 import type { Effect } from 'effect'
 import type { Scope } from 'effect'
 import type { DispatchPart } from './startDispatchPart'
@@ -24,7 +24,7 @@
   { now, startedAt, log }: ProcessContext,
   { machine }: DispatchPart,
 ): Effect.Effect<void, never, Scope.Scope> {
-  let warmUp: Rehearsal | undefined
+  let warmUp: LeaderWarmup | undefined
   let isOver = false
   let spentMs = 0
   const end = (why: string): number => {
@@ -34,14 +34,14 @@
     warmUp = undefined
     return IDLE_INTERVAL_MS
   }
-  return startPacedTimer(() => {
+  return startVariableTimer(() => {
     if (isOver) return IDLE_INTERVAL_MS
     if (machine.leads) return end('this instance leads')
     if (now() < startedAt + START_DELAY_MS) return SLICE_INTERVAL_MS
-    warmUp ??= new Rehearsal()
+    warmUp ??= new LeaderWarmup()
     const since = performance.now()
-    while (!warmUp.isOver && performance.now() < since + SLICE_MS) warmUp.step()
+    while (!warmUp.isDone && performance.now() < since + SLICE_MS) warmUp.step()
     spentMs += performance.now() - since
-    return warmUp.isOver ? end('all steps were run') : SLICE_INTERVAL_MS
+    return warmUp.isDone ? end('all steps were run') : SLICE_INTERVAL_MS
   })
 }
--- a/apps/cherryhitch/src/lib/instance/startMembershipPart.ts
+++ b/apps/cherryhitch/src/lib/instance/startMembershipPart.ts
@@ -54,7 +54,7 @@
   parts.control.use((control) => {
     for (const member of members) {
       if (member.self || !member.alive || member.zone !== options.zone) continue
-      control.notePeer(member.instance, member.settingsVersion)
+      control.observePeer(member.instance, member.settingsVersion)
     }
   })
 }
--- a/packages/control/src/lib/node/ClientMachine.ts
+++ b/packages/control/src/lib/node/ClientMachine.ts
@@ -8,7 +8,7 @@
   SettingsState,
   VotersStatus,
 } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
+import { StateMachine } from '@cherryhitch/runtime'
 import { ClientActionKind, ClientEventKind } from './ClientEvent'
 import type { ClientAction, ClientEvent, ReadRange } from './ClientEvent'
 import type { ClientOptions } from './ClientOptions'
@@ -32,7 +32,7 @@
  *
  * @internal
  */
-export class ClientMachine extends Machine<ClientEvent, ClientAction> {
+export class ClientMachine extends StateMachine<ClientEvent, ClientAction> {
   readonly #options: ClientOptions
   readonly #finder: LeaderFinder
   readonly #proposals: ProposalClient
--- a/packages/control/src/lib/node/ControlNode.routing.test.ts
+++ b/packages/control/src/lib/node/ControlNode.routing.test.ts
@@ -68,7 +68,7 @@
     await waitUntil(() => reported.length === 1, 'a leader is elected')
     await put('a', 5, 'five')
     const first = leader()
-    cluster.node(first).handOver()
+    cluster.node(first).transferLeadership()
     await waitUntil(() => reported.length === 2, 'another leader is elected')
     const [before, after] = reported
     assert.ok((after?.[0] ?? 0) > (before?.[0] ?? 0), 'the term increases')
@@ -88,7 +88,7 @@
     await startVoters()
     const old = leader()
     const term = cluster.node(old).term()
-    cluster.node(old).handOver()
+    cluster.node(old).transferLeadership()
     await waitUntil(() => leader() !== '' && leader() !== old, 'another leader is elected')
     assert.equal(cluster.node(leader()).term(), term + 1, 'the first election succeeded')
   })
--- a/packages/control/src/lib/node/ControlNode.test.ts
+++ b/packages/control/src/lib/node/ControlNode.test.ts
@@ -119,7 +119,7 @@
     await waitUntil(() => peer.settings()?.settings.version === 2, 'its peer has the new version')
     cluster.setCutBothWays(['d', 'e'], voters, true)
     const started = await cluster.start('e')
-    started.notePeer('d', 2)
+    started.observePeer('d', 2)
     await waitUntil(() => started.settings()?.settings.version === 2, "it has its peer's version")
     assert.equal(started.settings()?.current, false)
   })
--- a/packages/control/src/lib/node/ControlNode.ts
+++ b/packages/control/src/lib/node/ControlNode.ts
@@ -41,7 +41,7 @@
   }
 
   /** Reports an instance of the own availability zone and its announced settings version. */
-  notePeer(instance: string, settingsVersion: number): void {
+  observePeer(instance: string, settingsVersion: number): void {
     this.#host.observePeer(instance, settingsVersion)
   }
 
@@ -109,7 +109,7 @@
    * Called before the process stops: if this instance leads, another voter takes over without
    * waiting for the election timeout.
    */
-  handOver(): void {
+  transferLeadership(): void {
     this.#host.transferLeadership()
   }
 
--- a/packages/control/src/lib/node/startControlNode.ts
+++ b/packages/control/src/lib/node/startControlNode.ts
@@ -126,7 +126,7 @@
 ): Effect.Effect<Mailbox<NodeEvent>, never, Scope.Scope> {
   return Effect.gen(function* () {
     const mailbox = yield* startMailbox<NodeEvent>({
-      take: (events) => {
+      handleBatch: (events) => {
         host.handle(events)
       },
       onDefect: (defect) => {
--- a/packages/control/src/lib/soak/SimulatedCluster.ts
+++ b/packages/control/src/lib/soak/SimulatedCluster.ts
@@ -7,7 +7,7 @@
   Envelope,
   ReadControlReply,
 } from '@cherryhitch/protocol'
-import { Agenda, TieOrder } from '@cherryhitch/runtime'
+import { EventScheduler, TieOrder } from '@cherryhitch/runtime'
 import { MemoryDisk } from '@cherryhitch/storage'
 import { Effect } from 'effect'
 import type { ClientAction, ClientEvent } from '../node/ClientEvent'
@@ -90,7 +90,7 @@
   /** Links that drop all messages, as `from>to`. */
   readonly #cut = new Set<string>()
   /** The seeds that the tests use were found with this order of simultaneous events. */
-  readonly #agenda = new Agenda({ ties: TieOrder.LastAsked })
+  readonly #agenda = new EventScheduler({ tieOrder: TieOrder.Lifo })
   readonly #options: SimulationOptions
   readonly #processes = new Map<string, Process>()
   #lastRead: ReadControlReply | undefined
--- a/packages/control/src/lib/soak/runControlSoak.test.ts
+++ b/packages/control/src/lib/soak/runControlSoak.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { setPreset } from '../testing/commands'
-import { awaitLeader, decide, simulate } from '../testing/simulation'
+import { awaitLeader, proposeAndWait, simulate } from '../testing/simulation'
 import { brokenMechanisms, oldTermsCommitRules } from './brokenMechanisms'
 import { runControlSoak } from './runControlSoak'
 import type { SimulationOptions } from './SimulatedCluster'
@@ -73,7 +73,7 @@
   cluster.start(newLeader)
   cluster.run(10_000)
   cluster.start(oldLeader)
-  decide(cluster, 'f', setPreset('last', 'peak', 1))
+  proposeAndWait(cluster, 'f', setPreset('last', 'peak', 1))
 }
 
 describe('a leader that commits entries of earlier terms by counting replicas', () => {
--- a/packages/control/src/lib/store/VoterStore.test.ts
+++ b/packages/control/src/lib/store/VoterStore.test.ts
@@ -5,7 +5,7 @@
 import { PresetName } from '../state/presets'
 import type { SimulatedCluster } from '../soak/SimulatedCluster'
 import { setPreset } from '../testing/commands'
-import { awaitLeader, decide, resultOf, simulate } from '../testing/simulation'
+import { awaitLeader, proposeAndWait, resultOf, simulate } from '../testing/simulation'
 
 const presets = Object.values(PresetName)
 
@@ -32,7 +32,7 @@
           kills++
           killDuring(cluster, voters)
         }
-        assert.equal(resultOf(decide(cluster, 'f', command)), 'APPLIED')
+        assert.equal(resultOf(proposeAndWait(cluster, 'f', command)), 'APPLIED')
       }
       for (const voter of voters) cluster.crash(voter)
       for (const voter of voters) cluster.start(voter)
--- a/packages/control/src/lib/testing/simulation.ts
+++ b/packages/control/src/lib/testing/simulation.ts
@@ -39,7 +39,7 @@
 }
 
 /** Proposes a command and waits for the answer. */
-export function decide(
+export function proposeAndWait(
   cluster: SimulatedCluster,
   instance: string,
   command: Command,
@@ -62,7 +62,7 @@
 }
 
 /** The two of the three voters that do not lead. */
-export function othersThan(leader: string): [string, string] {
+export function otherVoters(leader: string): [string, string] {
   const [first, second] = ['a', 'b', 'c'].filter((instance) => instance !== leader)
   if (first === undefined || second === undefined) throw new Error('three voters are needed')
   return [first, second]
@@ -72,7 +72,7 @@
 export function addLearner(cluster: SimulatedCluster, instance: string): string {
   const diskId = cluster.diskId(instance)
   const command = changeVoters(`add ${diskId}`, VoterChangeKind.ADD_LEARNER, instance, diskId)
-  assert.equal(resultOf(decide(cluster, 'f', command)), 'APPLIED')
+  assert.equal(resultOf(proposeAndWait(cluster, 'f', command)), 'APPLIED')
   return diskId
 }
 
--- a/packages/control/src/lib/voter/VoterMachine.test.ts
+++ b/packages/control/src/lib/voter/VoterMachine.test.ts
@@ -8,8 +8,8 @@
 import {
   addLearner,
   awaitLeader,
-  decide,
-  othersThan,
+  proposeAndWait,
+  otherVoters,
   resultOf,
   simulate,
   votersOf,
@@ -29,7 +29,7 @@
       const old = awaitLeader(cluster)
       cluster.cut(old, how)
       const next = awaitLeader(cluster, old)
-      assert.equal(resultOf(decide(cluster, next, setPreset('new', 'peak', 1))), 'APPLIED')
+      assert.equal(resultOf(proposeAndWait(cluster, next, setPreset('new', 'peak', 1))), 'APPLIED')
       cluster.run(3_000)
       assert.notEqual(cluster.voter(old)?.role, VoterRole.Leader)
       cluster.cut(old, none)
@@ -43,14 +43,14 @@
     const cluster = simulate()
     const old = awaitLeader(cluster)
     cluster.cut(old, both)
-    assert.equal(resultOf(decide(cluster, old, setPreset('lost', 'peak', 1))), 'UNKNOWN')
+    assert.equal(resultOf(proposeAndWait(cluster, old, setPreset('lost', 'peak', 1))), 'UNKNOWN')
     assert.ok((cluster.voter(old)?.lastIndex ?? 0) > (cluster.voter(old)?.commitIndex ?? 0))
     const next = awaitLeader(cluster, old)
-    const won = decide(cluster, next, setPreset('won', 'maintenance', 1))
+    const won = proposeAndWait(cluster, next, setPreset('won', 'maintenance', 1))
     assert.equal(resultOf(won), 'APPLIED')
     cluster.cut(old, none)
     cluster.run(3_000)
-    assert.equal(resultOf(decide(cluster, old, setPreset('lost', 'peak', 1))), 'CONFLICT')
+    assert.equal(resultOf(proposeAndWait(cluster, old, setPreset('lost', 'peak', 1))), 'CONFLICT')
   })
 
   it('blocks claims only until the next leader is elected; before, the result is unknown', () => {
@@ -58,11 +58,11 @@
     const old = awaitLeader(cluster)
     for (const instance of ['a', 'b', 'c']) cluster.crash(instance)
     const command = claimKeys('c1', [keyClaim('k', 'job1')])
-    const alone = decide(cluster, 'f', command)
+    const alone = proposeAndWait(cluster, 'f', command)
     assert.equal(resultOf(alone), 'UNKNOWN', 'a message to a dead instance is not answered')
     for (const instance of ['a', 'b', 'c']) cluster.start(instance)
     awaitLeader(cluster)
-    assert.equal(resultOf(decide(cluster, 'f', command)), 'APPLIED')
+    assert.equal(resultOf(proposeAndWait(cluster, 'f', command)), 'APPLIED')
     assert.ok(old)
   })
 })
@@ -96,7 +96,7 @@
     },
     'after other changes': (cluster) => {
       for (let version = 2; version < 8; version++) {
-        decide(cluster, 'a', setPreset(`other ${version}`, 'peak', version))
+        proposeAndWait(cluster, 'a', setPreset(`other ${version}`, 'peak', version))
       }
       return 'c'
     },
@@ -105,11 +105,14 @@
     it(`who resend a command ${when} get the first answer`, () => {
       const cluster = simulate()
       const command = setPreset('c1', 'peak', 1)
-      const first = decide(cluster, 'a', command)
-      const conflict = decide(cluster, 'a', setPreset('c2', 'maintenance', 1))
+      const first = proposeAndWait(cluster, 'a', command)
+      const conflict = proposeAndWait(cluster, 'a', setPreset('c2', 'maintenance', 1))
       const instance = prepare(cluster)
-      assert.deepEqual(decide(cluster, instance, command), first)
-      assert.deepEqual(decide(cluster, instance, setPreset('c2', 'maintenance', 1)), conflict)
+      assert.deepEqual(proposeAndWait(cluster, instance, command), first)
+      assert.deepEqual(
+        proposeAndWait(cluster, instance, setPreset('c2', 'maintenance', 1)),
+        conflict,
+      )
       assert.equal(resultOf(first), 'APPLIED')
       assert.equal(resultOf(conflict), 'CONFLICT')
     })
@@ -120,8 +123,8 @@
   it('returns as a learner, replaces its old disk, and makes up for a second loss', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
-    const [lost, second] = othersThan(leader)
-    decide(cluster, leader, setPreset('before', 'peak', 1))
+    const [lost, second] = otherVoters(leader)
+    proposeAndWait(cluster, leader, setPreset('before', 'peak', 1))
     cluster.wipe(lost)
     cluster.start(lost)
     const diskId = addLearner(cluster, lost)
@@ -134,18 +137,21 @@
     cluster.wipe(leader)
     const next = awaitLeader(cluster, leader)
     assert.equal(cluster.voter(next)?.settings?.version, 2)
-    assert.equal(resultOf(decide(cluster, next, setPreset('after', 'maintenance', 2))), 'APPLIED')
+    assert.equal(
+      resultOf(proposeAndWait(cluster, next, setPreset('after', 'maintenance', 2))),
+      'APPLIED',
+    )
   })
 
   it('does not count before the membership change is committed', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
-    const [lost, second] = othersThan(leader)
+    const [lost, second] = otherVoters(leader)
     cluster.wipe(lost)
     cluster.start(lost)
     cluster.cut(second, both)
     const command = changeVoters('add', VoterChangeKind.ADD_LEARNER, lost, cluster.diskId(lost))
-    assert.equal(resultOf(decide(cluster, leader, command)), 'UNKNOWN')
+    assert.equal(resultOf(proposeAndWait(cluster, leader, command)), 'UNKNOWN')
     assert.equal(cluster.leader(), undefined, 'the leader and an empty disk are no majority')
     cluster.cut(second, none)
     awaitLeader(cluster)
@@ -154,9 +160,9 @@
   it('and initialized again does not vote for a log without the newest entries', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
-    const [lost, behind] = othersThan(leader)
+    const [lost, behind] = otherVoters(leader)
     cluster.cut(behind, both)
-    assert.equal(resultOf(decide(cluster, leader, setPreset('kept', 'peak', 1))), 'APPLIED')
+    assert.equal(resultOf(proposeAndWait(cluster, leader, setPreset('kept', 'peak', 1))), 'APPLIED')
     cluster.wipe(lost)
     cluster.initialize(lost)
     cluster.crash(leader)
@@ -173,7 +179,7 @@
   it('can lead after a restart from a snapshot older than its promotion', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
-    const [lost, second] = othersThan(leader)
+    const [lost, second] = otherVoters(leader)
     cluster.wipe(lost)
     cluster.start(lost)
     addLearner(cluster, lost)
@@ -186,15 +192,15 @@
     cluster.run(5_000)
     cluster.cut(second, none)
     const next = awaitLeader(cluster, leader)
-    assert.equal(resultOf(decide(cluster, next, setPreset('c', 'peak', 1))), 'APPLIED')
+    assert.equal(resultOf(proposeAndWait(cluster, next, setPreset('c', 'peak', 1))), 'APPLIED')
   })
 
   it('and restored from an older copy with the same id is detected and removed', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
-    const [old] = othersThan(leader)
+    const [old] = otherVoters(leader)
     const copy = cluster.copyDisk(old)
-    decide(cluster, leader, setPreset('c1', 'peak', 1))
+    proposeAndWait(cluster, leader, setPreset('c1', 'peak', 1))
     cluster.run(1_000)
     cluster.crash(old)
     cluster.replaceDisk(old, copy)
@@ -210,7 +216,7 @@
     const cluster = simulate({ spares: ['d'] })
     const leader = awaitLeader(cluster)
     addLearner(cluster, 'd')
-    const [gone] = othersThan(leader)
+    const [gone] = otherVoters(leader)
     cluster.cut(gone, both)
     cluster.run(20_000)
     assert.ok(votersOf(cluster).includes(cluster.diskId('d')), votersOf(cluster).join(' '))
@@ -231,7 +237,7 @@
     const leader = awaitLeader(cluster)
     addLearner(cluster, 'd')
     cluster.run(2_000)
-    const [silent, lost] = othersThan(leader)
+    const [silent, lost] = otherVoters(leader)
     cluster.cut(silent, both)
     const voter = cluster.voter(leader)
     const proposed = cluster.runUntil(() => voter?.lastIndex !== voter?.commitIndex, 15_000)
@@ -240,7 +246,7 @@
     cluster.run(10_000)
     cluster.cut(silent, none)
     const next = awaitLeader(cluster)
-    assert.equal(resultOf(decide(cluster, next, setPreset('c', 'peak', 1))), 'APPLIED')
+    assert.equal(resultOf(proposeAndWait(cluster, next, setPreset('c', 'peak', 1))), 'APPLIED')
   })
 })
 
@@ -248,13 +254,13 @@
   it('are refused if no majority would remain, or if the disk to promote has not caught up', () => {
     const cluster = simulate()
     const leader = awaitLeader(cluster)
-    const [dead, alive] = othersThan(leader)
+    const [dead, alive] = otherVoters(leader)
     cluster.crash(dead)
     cluster.run(5_000)
     const remove = changeVoters('r', VoterChangeKind.REMOVE, alive, `${alive}-soak`)
-    assert.equal(resultOf(decide(cluster, leader, remove)), 'UNAVAILABLE')
+    assert.equal(resultOf(proposeAndWait(cluster, leader, remove)), 'UNAVAILABLE')
     const promote = changeVoters('p', VoterChangeKind.PROMOTE, 'x', 'unknown')
-    assert.equal(resultOf(decide(cluster, leader, promote)), 'UNAVAILABLE')
+    assert.equal(resultOf(proposeAndWait(cluster, leader, promote)), 'UNAVAILABLE')
     assert.deepEqual(votersOf(cluster), ['a-soak', 'b-soak', 'c-soak'])
   })
 })
@@ -268,8 +274,8 @@
       cluster.propose(failing, setPreset('c1', 'peak', 1))
       const next = awaitLeader(cluster, failing)
       assert.equal(cluster.voter(failing)?.isHealthy, false)
-      assert.equal(resultOf(decide(cluster, next, setPreset('c1', 'peak', 1))), 'APPLIED')
-      const [third] = othersThan(failing).filter((instance) => instance !== next)
+      assert.equal(resultOf(proposeAndWait(cluster, next, setPreset('c1', 'peak', 1))), 'APPLIED')
+      const [third] = otherVoters(failing).filter((instance) => instance !== next)
       cluster.crash(third ?? '')
       cluster.run(5_000)
       assert.equal(cluster.leader(), undefined, 'a failed disk does not make a majority')
@@ -286,7 +292,7 @@
     it(`at ${what} gives no vote, and can lead after a restart`, () => {
       const cluster = simulate()
       const leader = awaitLeader(cluster)
-      const [failing, third] = othersThan(leader)
+      const [failing, third] = otherVoters(leader)
       cluster.disk(failing).fail({ operation })
       cluster.crash(leader)
       cluster.run(8_000)
@@ -302,9 +308,9 @@
     const cluster = simulate()
     const old = awaitLeader(cluster)
     cluster.cut(old, both)
-    decide(cluster, old, setPreset('lost', 'peak', 1))
+    proposeAndWait(cluster, old, setPreset('lost', 'peak', 1))
     const next = awaitLeader(cluster, old)
-    decide(cluster, next, setPreset('won', 'maintenance', 1))
+    proposeAndWait(cluster, next, setPreset('won', 'maintenance', 1))
     // The truncation replaces a log file: its rename is the second one, after that of the vote.
     cluster.disk(old).fail({ operation: DiskOperation.Rename, nth: 2 })
     cluster.cut(old, none)
@@ -328,9 +334,9 @@
       cluster.link = link
       let version = 1
       for (let change = 0; change < 15; change++) {
-        const answer = decide(cluster, 'f', setPreset(`c${change}`, 'peak', version))
+        const answer = proposeAndWait(cluster, 'f', setPreset(`c${change}`, 'peak', version))
         if (resultOf(answer) !== 'UNKNOWN') assert.equal(resultOf(answer), 'APPLIED')
-        const again = decide(cluster, 'a', setPreset(`c${change}`, 'peak', version))
+        const again = proposeAndWait(cluster, 'a', setPreset(`c${change}`, 'peak', version))
         if (resultOf(again) === 'APPLIED') version++
         assert.ok(again.version <= version)
       }
--- a/packages/control/src/lib/voter/VoterMachine.ts
+++ b/packages/control/src/lib/voter/VoterMachine.ts
@@ -6,7 +6,7 @@
   StartElection,
   VotersStatus,
 } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
+import { StateMachine } from '@cherryhitch/runtime'
 import type {
   AppendEntries,
   AppendReply,
@@ -37,7 +37,7 @@
  *
  * @public
  */
-export class VoterMachine extends Machine<ControlEvent, ControlAction> {
+export class VoterMachine extends StateMachine<ControlEvent, ControlAction> {
   readonly #core: VoterCore
   readonly #election: Election
   readonly #follower: Follower
--- a/packages/control/src/lib/voter/VoterRepair.test.ts
+++ b/packages/control/src/lib/voter/VoterRepair.test.ts
@@ -10,7 +10,7 @@
 import {
   addLearner,
   awaitLeader,
-  decide,
+  proposeAndWait,
   resultOf,
   simulate,
   votersOf,
@@ -78,11 +78,11 @@
           const cluster = simulateGroup(['d', 'e'])
           const leader = awaitLeader(cluster)
           const [one = '', other = ''] = HOSTS.filter((instance) => instance !== leader)
-          decide(cluster, leader, setPreset('before', 'peak', 1))
+          proposeAndWait(cluster, leader, setPreset('before', 'peak', 1))
           loseFirst(cluster, withLeader ? leader : one)
           loseSecond(cluster, other)
           const next = awaitLeader(cluster, withLeader ? leader : undefined)
-          const answer = decide(cluster, next, setPreset('after', 'maintenance', 2))
+          const answer = proposeAndWait(cluster, next, setPreset('after', 'maintenance', 2))
           assert.equal(resultOf(answer), 'APPLIED', `${first}, then ${second}`)
         }
       }
@@ -91,7 +91,7 @@
 
   it('is restored to five voters after two disks are lost, and tolerates two more losses', () => {
     const cluster = simulateGroup(['d', 'e'])
-    decide(cluster, awaitLeader(cluster), setPreset('before', 'peak', 1))
+    proposeAndWait(cluster, awaitLeader(cluster), setPreset('before', 'peak', 1))
     const lostDisks = ['a', 'd'].map((lost) => cluster.diskId(lost))
     for (const lost of ['a', 'd']) losses['left without its disk']?.(cluster, lost)
     awaitLeader(cluster)
@@ -105,7 +105,10 @@
     assert.ok(cluster.runUntil(isWhole, REPAIR_MS), votersOf(cluster).join(' '))
     for (const lost of ['b', 'e']) cluster.wipe(lost)
     const next = awaitLeader(cluster)
-    assert.equal(resultOf(decide(cluster, next, setPreset('after', 'maintenance', 2))), 'APPLIED')
+    assert.equal(
+      resultOf(proposeAndWait(cluster, next, setPreset('after', 'maintenance', 2))),
+      'APPLIED',
+    )
   })
 
   it('keeps silent voters, whose disks hold entries that two others then lose', () => {
@@ -116,11 +119,14 @@
     )
     for (const silent of [one, other]) cluster.cut(silent, both)
     cluster.run(30_000)
-    decide(cluster, leader, setPreset('kept', 'peak', 1))
+    proposeAndWait(cluster, leader, setPreset('kept', 'peak', 1))
     for (const lost of [third, fourth]) cluster.wipe(lost)
     for (const silent of [one, other]) cluster.cut(silent, none)
     const next = awaitLeader(cluster)
     assert.equal(cluster.voter(next)?.settings?.version, 2)
-    assert.equal(resultOf(decide(cluster, next, setPreset('after', 'maintenance', 2))), 'APPLIED')
+    assert.equal(
+      resultOf(proposeAndWait(cluster, next, setPreset('after', 'maintenance', 2))),
+      'APPLIED',
+    )
   })
 })
--- a/packages/coordinator/src/lib/ActivePolicies.ts
+++ b/packages/coordinator/src/lib/ActivePolicies.ts
@@ -13,7 +13,7 @@
   readonly estimator = createRunTimeEstimator()
   router: OwnerRouter
   admission: Admission
-  retries: RetryBudget
+  retryBudget: RetryBudget
   version = 0
   current = false
   private isApplied = false
@@ -21,7 +21,7 @@
   constructor(preset: PresetDefinition) {
     this.router = createOwnerRouter(preset)
     this.admission = createAdmission(preset)
-    this.retries = createRetryBudget(preset)
+    this.retryBudget = createRetryBudget(preset)
   }
 
   /** Applies a preset. Ignores a version older than the present one, so that no preset reverts. */
@@ -33,6 +33,6 @@
     this.version = version
     this.router = createOwnerRouter(preset)
     this.admission = createAdmission(preset)
-    this.retries = createRetryBudget(preset)
+    this.retryBudget = createRetryBudget(preset)
   }
 }
--- a/packages/coordinator/src/lib/CoordinatorContext.ts
+++ b/packages/coordinator/src/lib/CoordinatorContext.ts
@@ -1,15 +1,15 @@
 import type { AnswerCache } from './answers/AnswerCache'
 import type { CoordinatorCounters } from './CoordinatorCounters'
 import type { CoordinatorLimits, CoordinatorOptions, CoordinatorTiming } from './CoordinatorOptions'
-import type { JobBook } from './jobs/JobBook'
+import type { JobTable } from './jobs/JobTable'
 import type { Replies } from './jobs/Replies'
-import type { RequestBook } from './jobs/RequestBook'
-import type { KeyBook } from './keys/KeyBook'
+import type { RequestTable } from './jobs/RequestTable'
+import type { KeyTable } from './keys/KeyTable'
 import type { MemberTable } from './members/MemberTable'
 import type { Outbox } from './Outbox'
 import type { TasksByOwner } from './placement/TasksByOwner'
 import type { ActivePolicies } from './ActivePolicies'
-import type { DueItem } from './timers/DueItem'
+import type { CoordinatorTimer } from './timers/CoordinatorTimer'
 import type { TimerWheel } from './timers/TimerWheel'
 
 /** State and services shared by the components of one coordinator. @internal */
@@ -21,11 +21,11 @@
   readonly outbox: Outbox
   readonly policies: ActivePolicies
   readonly members: MemberTable
-  readonly jobs: JobBook
-  readonly keys: KeyBook
+  readonly jobs: JobTable
+  readonly keys: KeyTable
   readonly answers: AnswerCache
-  readonly requests: RequestBook
+  readonly requests: RequestTable
   readonly replies: Replies
-  readonly inFlight: TasksByOwner
-  readonly due: TimerWheel<DueItem>
+  readonly tasksByOwner: TasksByOwner
+  readonly timers: TimerWheel<CoordinatorTimer>
 }
--- a/packages/coordinator/src/lib/CoordinatorMachine.random.test.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.random.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { FakeWorld } from './fixtures/FakeWorld'
+import { CoordinatorSimulation } from './fixtures/CoordinatorSimulation'
 import { randomMoves } from './fixtures/randomMoves'
 
 const RUNS = 300
@@ -9,7 +9,7 @@
   for (const seed of [1, 2, 3]) {
     it(`the invariants of the coordinator hold (seed ${seed})`, () => {
       const property = fc.property(randomMoves, (moves) => {
-        const world = new FakeWorld()
+        const world = new CoordinatorSimulation()
         for (const move of moves) world.move(move)
         world.finish()
       })
--- a/packages/coordinator/src/lib/CoordinatorMachine.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.ts
@@ -1,8 +1,8 @@
 import { exhaustive } from '@cherryhitch/model'
 import type { JobAnswer } from '@cherryhitch/protocol'
 import { Reason } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
-import { AnswerKeeper } from './answers/AnswerKeeper'
+import { StateMachine } from '@cherryhitch/runtime'
+import { AnswerRecorder } from './answers/AnswerRecorder'
 import type { CoordinatorAction } from './CoordinatorAction'
 import type { CoordinatorContext } from './CoordinatorContext'
 import type { CoordinatorCounters } from './CoordinatorCounters'
@@ -10,24 +10,24 @@
 import { CoordinatorEventKind } from './CoordinatorEvent'
 import type { CoordinatorOptions } from './CoordinatorOptions'
 import { createContext } from './createContext'
-import { Forwarding } from './forwarding/Forwarding'
-import { QueryDesk } from './forwarding/QueryDesk'
+import { RequestForwarder } from './forwarding/RequestForwarder'
+import { QueryHandler } from './forwarding/QueryHandler'
 import type { Job } from './jobs/Job'
-import { JobDesk } from './jobs/JobDesk'
-import type { SubmitRequest } from './jobs/JobDesk'
+import { SubmissionHandler } from './jobs/SubmissionHandler'
+import type { SubmitRequest } from './jobs/SubmissionHandler'
 import { JobEnding } from './jobs/JobEnding'
 import { problem, runningAnswer } from './jobs/jobAnswers'
 import { localWaiter, remoteWaiter } from './jobs/Waiter'
-import { ClaimDesk } from './keys/ClaimDesk'
+import { ClaimHandler } from './keys/ClaimHandler'
 import { KeyedJobHandler } from './keys/KeyedJobHandler'
 import { MemberChangeKind } from './members/MemberChange'
-import { LossWatch } from './placement/LossWatch'
-import { ReportDesk } from './placement/ReportDesk'
-import { Retries } from './placement/Retries'
-import { TaskFlight } from './placement/TaskFlight'
-import { TaskPlacement } from './placement/TaskPlacement'
-import type { DueItem } from './timers/DueItem'
-import { DueKind } from './timers/DueItem'
+import { OwnerLossHandler } from './placement/OwnerLossHandler'
+import { ReportHandler } from './placement/ReportHandler'
+import { RetryScheduler } from './placement/RetryScheduler'
+import { TaskTracker } from './placement/TaskTracker'
+import { TaskPlacer } from './placement/TaskPlacer'
+import type { CoordinatorTimer } from './timers/CoordinatorTimer'
+import { TimerKind } from './timers/CoordinatorTimer'
 
 type EventOf<K extends CoordinatorEventKind> = Extract<CoordinatorEvent, { kind: K }>
 
@@ -40,37 +40,43 @@
  *
  * @public
  */
-export class CoordinatorMachine extends Machine<CoordinatorEvent, CoordinatorAction> {
+export class CoordinatorMachine extends StateMachine<CoordinatorEvent, CoordinatorAction> {
   private readonly context: CoordinatorContext
   private readonly completion: JobEnding
-  private readonly jobIntake: JobDesk
+  private readonly jobIntake: SubmissionHandler
   private readonly keyedJobs: KeyedJobHandler
-  private readonly claims: ClaimDesk
-  private readonly queries: QueryDesk
-  private readonly forwarding: Forwarding
-  private readonly retries: Retries
-  private readonly reports: ReportDesk
-  private readonly lossDetector: LossWatch
-  private readonly answerRecorder: AnswerKeeper
+  private readonly claims: ClaimHandler
+  private readonly queries: QueryHandler
+  private readonly forwarding: RequestForwarder
+  private readonly retries: RetryScheduler
+  private readonly reports: ReportHandler
+  private readonly lossDetector: OwnerLossHandler
+  private readonly answerRecorder: AnswerRecorder
   private reportedDrained = false
 
   constructor(options: CoordinatorOptions) {
     super()
     this.context = createContext(options)
-    const flight = new TaskFlight(this.context)
-    const placement = new TaskPlacement(this.context, flight)
+    const flight = new TaskTracker(this.context)
+    const placement = new TaskPlacer(this.context, flight)
     const completion = new JobEnding(this.context, flight)
     this.completion = completion
-    this.jobIntake = new JobDesk(this.context, placement, completion)
-    this.retries = new Retries(this.context, placement, completion)
-    this.reports = new ReportDesk(this.context, flight, this.retries, completion)
-    this.lossDetector = new LossWatch(this.context, flight, this.reports, this.retries, completion)
-    this.forwarding = new Forwarding(this.context)
-    this.claims = new ClaimDesk(this.context, this.jobIntake, completion, this.forwarding)
+    this.jobIntake = new SubmissionHandler(this.context, placement, completion)
+    this.retries = new RetryScheduler(this.context, placement, completion)
+    this.reports = new ReportHandler(this.context, flight, this.retries, completion)
+    this.lossDetector = new OwnerLossHandler(
+      this.context,
+      flight,
+      this.reports,
+      this.retries,
+      completion,
+    )
+    this.forwarding = new RequestForwarder(this.context)
+    this.claims = new ClaimHandler(this.context, this.jobIntake, completion, this.forwarding)
     this.keyedJobs = new KeyedJobHandler(this.context, this.jobIntake, this.claims, this.forwarding)
-    this.answerRecorder = new AnswerKeeper(this.context)
+    this.answerRecorder = new AnswerRecorder(this.context)
     const { answerRecorder } = this
-    this.queries = new QueryDesk(
+    this.queries = new QueryHandler(
       this.context,
       completion,
       this.claims,
@@ -106,7 +112,7 @@
   }
 
   override tick(now: number): readonly CoordinatorAction[] {
-    for (const timer of this.context.due.takeDue(now)) this.handleTimer(now, timer)
+    for (const timer of this.context.timers.takeDue(now)) this.handleTimer(now, timer)
     this.context.answers.expire(now)
     this.answerRecorder.expire(now)
     return this.takeActions(now)
@@ -130,7 +136,7 @@
         return
       case CoordinatorEventKind.Query: {
         const waiter = localWaiter(event.requestId, false)
-        this.queries.ask(now, { ...event, waiter })
+        this.queries.handleLocal(now, { ...event, waiter })
         return
       }
       case CoordinatorEventKind.CallerGone:
@@ -171,10 +177,10 @@
   private handleMessage(now: number, from: string, message: CoordinatorMessage): void {
     switch (message.case) {
       case 'taskReports':
-        this.reports.take(now, from, message.value)
+        this.reports.handle(now, from, message.value)
         return
       case 'fenceReports':
-        this.lossDetector.takeFenceReports(now, from, message.value)
+        this.lossDetector.handleFenceReports(now, from, message.value)
         return
       case 'forwardJob': {
         const { job: spec, requestId, respondAsync } = message.value
@@ -186,11 +192,11 @@
       case 'jobQuery': {
         const { jobId, caller, cancel, wait, requestId } = message.value
         const waiter = remoteWaiter(from, requestId, false)
-        this.queries.answer(now, { jobId, caller, cancel, wait, waiter })
+        this.queries.handleForwarded(now, { jobId, caller, cancel, wait, waiter })
         return
       }
       case 'jobReply':
-        this.forwarding.takeReply(now, from, message.value)
+        this.forwarding.handleReply(now, from, message.value)
         return
       default:
         exhaustive(message)
@@ -200,9 +206,9 @@
   private updateMembers(now: number, event: EventOf<CoordinatorEventKind.Members>): void {
     const changes = this.context.members.update(now, event.members)
     for (const change of changes) {
-      this.lossDetector.takeChange(now, change)
+      this.lossDetector.handleMemberChange(now, change)
       if (change.kind !== MemberChangeKind.Restarted) continue
-      this.forwarding.targetRestarted(now, change.instance, change.boot)
+      this.forwarding.handleRestart(now, change.instance, change.boot)
     }
     this.lossDetector.confirmFences(now)
   }
@@ -216,7 +222,7 @@
     if (request === undefined) return
     this.context.counters.callersGone++
     if (request.forwardId !== undefined) {
-      this.forwarding.forget(request.forwardId)
+      this.forwarding.drop(request.forwardId)
       return
     }
     const job = this.context.jobs.get(request.sequence)
@@ -226,28 +232,28 @@
     this.completion.cancel(now, job, callerGone)
   }
 
-  private handleTimer(now: number, timer: DueItem): void {
+  private handleTimer(now: number, timer: CoordinatorTimer): void {
     switch (timer.kind) {
-      case DueKind.Deadline:
+      case TimerKind.Deadline:
         this.withJob(timer.sequence, (job) => {
           this.completion.fail(now, job, deadlinePassed)
         })
         return
-      case DueKind.AskAfterLate:
+      case TimerKind.CheckLateTasks:
         this.withJob(timer.sequence, (job) => {
-          this.lossDetector.askAfterLate(now, job)
+          this.lossDetector.checkLateTasks(now, job)
         })
         return
-      case DueKind.Retry:
+      case TimerKind.Retry:
         this.withJob(timer.sequence, (job) => {
           this.retries.placeAgain(now, job, timer.indexes, timer.giveUpAt)
         })
         return
-      case DueKind.OwnerGone:
-        this.lossDetector.ownerGone(now, timer.owner, timer.boot)
+      case TimerKind.OwnerLeasesExpired:
+        this.lossDetector.handleLeasesExpired(now, timer.owner, timer.boot)
         return
-      case DueKind.ForwardLate:
-        this.forwarding.checkLate(now, timer.forwardId)
+      case TimerKind.ForwardTimeout:
+        this.forwarding.checkTimeout(now, timer.forwardId)
         return
       default:
         exhaustive(timer)
--- a/packages/coordinator/src/lib/CoordinatorOptions.ts
+++ b/packages/coordinator/src/lib/CoordinatorOptions.ts
@@ -44,16 +44,16 @@
   /** Time after which a request to another instance is resent if it was not answered. */
   readonly forwardTimeoutMs: number
   /** How long a task waits for a new owner after its owner drained or lost its endpoints. */
-  readonly ownerPatienceMs: number
+  readonly newOwnerWaitMs: number
   /** How long a draining coordinator holds an answer that no caller has fetched yet. */
   readonly drainAnswerHoldMs: number
   /**
    * Minimum time after a placement at which the owner is queried about tasks without a report. The
    * interval between queries about one job starts at this value and doubles with each query.
    */
-  readonly askAfterMs: number
+  readonly lateTaskQueryMs: number
   /** Maximum time until the first query, however long the tasks are expected to take. */
-  readonly askAfterMaxMs: number
+  readonly lateTaskQueryMaxMs: number
   /**
    * An owner's report that it has never seen a task is trusted only if the task was placed within
    * this time. It must be shorter than the 60 s for which owners remember ended tasks, because an
@@ -61,7 +61,7 @@
    */
   readonly fenceTrustMs: number
   /** Maximum interval between queries about one job and between resends of a forwarded request. */
-  readonly askEveryMaxMs: number
+  readonly maxQueryIntervalMs: number
   /** Minimum interval between cancellation messages to one owner; each carries a batch. */
   readonly cancelBatchMs: number
 }
@@ -76,12 +76,12 @@
   ownerDeadlineMarginMs: 25,
   answerRetentionMs: 300_000,
   forwardTimeoutMs: 2000,
-  ownerPatienceMs: 1000,
+  newOwnerWaitMs: 1000,
   drainAnswerHoldMs: 5000,
-  askAfterMs: 1000,
-  askAfterMaxMs: 20_000,
+  lateTaskQueryMs: 1000,
+  lateTaskQueryMaxMs: 20_000,
   fenceTrustMs: 50_000,
-  askEveryMaxMs: 8000,
+  maxQueryIntervalMs: 8000,
   cancelBatchMs: 20,
 }
 
--- a/packages/coordinator/src/lib/Outbox.ts
+++ b/packages/coordinator/src/lib/Outbox.ts
@@ -83,7 +83,7 @@
   }
 
   /** Discards the cancellations for an owner that restarted and so lost the tasks they refer to. */
-  forgetCancels(owner: string): void {
+  discardCancels(owner: string): void {
     this.pendingCancels.delete(owner)
   }
 
--- a/packages/coordinator/src/lib/answers/AnswerKeeper.ts
+++ b/packages/coordinator/src/lib/answers/AnswerRecorder.ts
@@ -3,7 +3,7 @@
 import type { CoordinatorContext } from '../CoordinatorContext'
 import type { Job } from '../jobs/Job'
 import { JobPhase } from '../jobs/Job'
-import { formatKeyId } from '../keys/KeyBook'
+import { formatKeyId } from '../keys/KeyTable'
 
 /**
  * Stores the answers that may be requested later: those of asynchronous jobs and of jobs with a
@@ -11,7 +11,7 @@
  *
  * @internal
  */
-export class AnswerKeeper {
+export class AnswerRecorder {
   /** Asynchronous jobs whose answer no caller has fetched yet, in the order in which they ended. */
   private readonly endedAtByUnreadJob = new Map<string, number>()
 
@@ -22,7 +22,7 @@
     return this.endedAtByUnreadJob.size
   }
 
-  noteRead(jobId: string): void {
+  markRead(jobId: string): void {
     this.endedAtByUnreadJob.delete(jobId)
   }
 
--- a/packages/coordinator/src/lib/bench/soakMachine.ts
+++ b/packages/coordinator/src/lib/bench/soakMachine.ts
@@ -3,7 +3,7 @@
  * Arguments: first seed, number of seeds. Prints the sums of the coordinator's counters.
  */
 import fc from 'fast-check'
-import { FakeWorld } from '../fixtures/FakeWorld'
+import { CoordinatorSimulation } from '../fixtures/CoordinatorSimulation'
 import { randomMoves } from '../fixtures/randomMoves'
 
 const RUNS_PER_SEED = 1500
@@ -14,7 +14,7 @@
 const totals: Record<string, number> = {}
 for (let seed = first; seed < first + seeds; seed++) {
   const property = fc.property(randomMoves, (moves) => {
-    const simulation = new FakeWorld()
+    const simulation = new CoordinatorSimulation()
     for (const move of moves) simulation.move(move)
     simulation.finish()
     for (const [name, count] of Object.entries(simulation.fixture.machine.counters)) {
--- a/packages/coordinator/src/lib/createContext.ts
+++ b/packages/coordinator/src/lib/createContext.ts
@@ -3,15 +3,15 @@
 import { createCounters } from './CoordinatorCounters'
 import type { CoordinatorOptions } from './CoordinatorOptions'
 import { defaultCoordinatorLimits, defaultCoordinatorTiming } from './CoordinatorOptions'
-import { JobBook } from './jobs/JobBook'
+import { JobTable } from './jobs/JobTable'
 import { Replies } from './jobs/Replies'
-import { RequestBook } from './jobs/RequestBook'
-import { KeyBook } from './keys/KeyBook'
+import { RequestTable } from './jobs/RequestTable'
+import { KeyTable } from './keys/KeyTable'
 import { MemberTable } from './members/MemberTable'
 import { Outbox } from './Outbox'
 import { TasksByOwner } from './placement/TasksByOwner'
 import { ActivePolicies } from './ActivePolicies'
-import type { DueItem } from './timers/DueItem'
+import type { CoordinatorTimer } from './timers/CoordinatorTimer'
 import { TimerWheel } from './timers/TimerWheel'
 
 /** Creates the state and services shared by the components of one coordinator. @internal */
@@ -26,14 +26,14 @@
     pendingCancelsPerOwner: limits.pendingCancelsPerOwner,
     isReachable: (instance) => members.isAlive(instance),
   })
-  const keys = new KeyBook()
-  const requests = new RequestBook()
+  const keys = new KeyTable()
+  const requests = new RequestTable()
   const answers = new AnswerCache({
     retentionMs: timing.answerRetentionMs,
     maxAnswers: limits.keptAnswers,
     maxChars: limits.keptAnswerChars,
     onEvicted: ({ keyId, jobId }) => {
-      keys.forget(keyId, jobId)
+      keys.remove(keyId, jobId)
     },
   })
   return {
@@ -44,12 +44,12 @@
     outbox,
     members,
     policies: new ActivePolicies(options.preset),
-    jobs: new JobBook(),
+    jobs: new JobTable(),
     keys,
     answers,
     requests,
     replies: new Replies(outbox, requests),
-    inFlight: new TasksByOwner(),
-    due: new TimerWheel<DueItem>(),
+    tasksByOwner: new TasksByOwner(),
+    timers: new TimerWheel<CoordinatorTimer>(),
   }
 }
--- a/packages/coordinator/src/lib/forwarding/QueryDesk.ts
+++ b/packages/coordinator/src/lib/forwarding/QueryHandler.ts
@@ -3,15 +3,15 @@
 import type { JobIdParts } from '@cherryhitch/model'
 import type { JobAnswer } from '@cherryhitch/protocol'
 import { JobAnswerSchema, JobQuerySchema, JobState, Outcome, Reason } from '@cherryhitch/protocol'
-import type { AnswerKeeper } from '../answers/AnswerKeeper'
+import type { AnswerRecorder } from '../answers/AnswerRecorder'
 import type { CoordinatorContext } from '../CoordinatorContext'
 import type { JobEnding } from '../jobs/JobEnding'
 import type { JobProblem } from '../jobs/jobAnswers'
 import { problem, runningAnswer, unknownAnswer } from '../jobs/jobAnswers'
 import type { Waiter } from '../jobs/Waiter'
-import type { ClaimDesk } from '../keys/ClaimDesk'
-import type { Forwarding } from './Forwarding'
-import { ForwardLoss } from './Forwarding'
+import type { ClaimHandler } from '../keys/ClaimHandler'
+import type { RequestForwarder } from './RequestForwarder'
+import { ForwardFailure } from './RequestForwarder'
 
 const UNREACHABLE_RETRY_MS = 1000
 
@@ -36,28 +36,28 @@
 }
 
 /** Answers job queries; a job's id names the instance and boot that coordinate it. @internal */
-export class QueryDesk {
+export class QueryHandler {
   constructor(
     private readonly context: CoordinatorContext,
     private readonly ending: JobEnding,
-    private readonly claims: ClaimDesk,
-    private readonly forwarding: Forwarding,
-    private readonly answerRecorder: AnswerKeeper,
+    private readonly claims: ClaimHandler,
+    private readonly forwarding: RequestForwarder,
+    private readonly answerRecorder: AnswerRecorder,
   ) {}
 
   /** Handles a query from a caller of this instance. */
-  ask(now: number, request: QueryRequest): void {
+  handleLocal(now: number, request: QueryRequest): void {
     const id = parseJobId(request.jobId)
-    if (id === undefined) this.context.replies.give(request.waiter, undefined)
+    if (id === undefined) this.context.replies.send(request.waiter, undefined)
     else if (id.coordinator === this.context.options.instance) this.answerLocalJob(now, request, id)
     else this.forwardQuery(now, request, id)
   }
 
   /** Handles a query that another instance forwarded; answers only for jobs of this instance. */
-  answer(now: number, request: QueryRequest): void {
+  handleForwarded(now: number, request: QueryRequest): void {
     const id = parseJobId(request.jobId)
     if (id?.coordinator === this.context.options.instance) this.answerLocalJob(now, request, id)
-    else this.context.replies.give(request.waiter, undefined)
+    else this.context.replies.send(request.waiter, undefined)
   }
 
   private answerLocalJob(now: number, request: QueryRequest, id: JobIdParts): void {
@@ -66,27 +66,27 @@
     if (id.boot !== options.boot) {
       const isEarlierBoot = id.boot < options.boot
       const lost = unknownAnswer(request.jobId, coordinatorLost, policies)
-      replies.give(waiter, isEarlierBoot ? lost : undefined)
+      replies.send(waiter, isEarlierBoot ? lost : undefined)
       return
     }
     const job = jobs.get(id.sequence)
     if (job === undefined) {
-      replies.give(waiter, this.findStoredAnswer(now, request))
+      replies.send(waiter, this.findStoredAnswer(now, request))
       return
     }
     // Jobs of other callers are answered as unknown, so that guessing ids reveals nothing.
-    if (job.caller !== caller) replies.give(waiter, undefined)
+    if (job.caller !== caller) replies.send(waiter, undefined)
     else if (request.cancel) {
       replies.attach(job, waiter)
       this.ending.cancel(now, job, cancelled)
     } else if (request.wait) replies.attach(job, waiter)
-    else replies.give(waiter, runningAnswer(job, policies))
+    else replies.send(waiter, runningAnswer(job, policies))
   }
 
   private findStoredAnswer(now: number, { jobId, caller }: QueryRequest): JobAnswer | undefined {
     const stored = this.context.answers.get(now, jobId)
     if (stored?.caller === caller) {
-      this.answerRecorder.noteRead(jobId)
+      this.answerRecorder.markRead(jobId)
       return stored.answer
     }
     return this.claims.abandonedAnswer(jobId, caller)
@@ -97,18 +97,18 @@
     const { waiter, jobId, caller, cancel, wait } = request
     const target = id.coordinator
     if (members.get(target) === undefined) {
-      replies.give(waiter, undefined)
+      replies.send(waiter, undefined)
       return
     }
     if (id.boot < members.bootOf(target)) {
-      replies.give(waiter, unknownAnswer(jobId, coordinatorLost, policies))
+      replies.send(waiter, unknownAnswer(jobId, coordinatorLost, policies))
       return
     }
     if (!members.isAlive(target)) {
-      replies.give(waiter, this.unreachableAnswer(jobId))
+      replies.send(waiter, this.unreachableAnswer(jobId))
       return
     }
-    const forwardId = this.forwarding.ask(now, {
+    const forwardId = this.forwarding.forward(now, {
       target,
       body: (_at, requestId) => ({
         case: 'jobQuery',
@@ -117,12 +117,12 @@
       expiresAt: now + (wait && !cancel ? timing.maxDeadlineMs : timing.forwardTimeoutMs),
       resendMs: timing.forwardTimeoutMs / 2,
       onAnswer: (_at, answer) => {
-        replies.give(waiter, answer)
+        replies.send(waiter, answer)
       },
-      onLost: (_at, loss) => {
-        const isRestarted = loss === ForwardLoss.TargetGone && id.boot < members.bootOf(target)
+      onFailure: (_at, loss) => {
+        const isRestarted = loss === ForwardFailure.TargetGone && id.boot < members.bootOf(target)
         const lost = unknownAnswer(jobId, coordinatorLost, policies)
-        replies.give(waiter, isRestarted ? lost : this.unreachableAnswer(jobId))
+        replies.send(waiter, isRestarted ? lost : this.unreachableAnswer(jobId))
       },
     })
     replies.attachForward(waiter, forwardId)
--- a/packages/coordinator/src/lib/forwarding/Forwarding.ts
+++ b/packages/coordinator/src/lib/forwarding/RequestForwarder.ts
@@ -1,9 +1,9 @@
 import type { EnvelopeBody, JobAnswer, JobReply } from '@cherryhitch/protocol'
 import type { CoordinatorContext } from '../CoordinatorContext'
-import { DueKind } from '../timers/DueItem'
+import { TimerKind } from '../timers/CoordinatorTimer'
 
 /** Reason why a forwarded request got no answer. @internal */
-export enum ForwardLoss {
+export enum ForwardFailure {
   /** The boot that the request was sent to is gone, or unreachable for longer than a lease. */
   TargetGone = 'target_gone',
   TimedOut = 'timed_out',
@@ -18,7 +18,7 @@
   /** Delay of the first resend; doubles with each further one. */
   readonly resendMs: number
   readonly onAnswer: (now: number, answer: JobAnswer | undefined) => void
-  readonly onLost: (now: number, loss: ForwardLoss) => void
+  readonly onFailure: (now: number, loss: ForwardFailure) => void
 }
 
 interface PendingRequest {
@@ -28,7 +28,7 @@
 }
 
 /** Forwards requests to other instances, resends them, and matches the replies. @internal */
-export class Forwarding {
+export class RequestForwarder {
   private readonly pending = new Map<string, PendingRequest>()
   private lastId = 0
 
@@ -38,7 +38,7 @@
     return this.pending.size
   }
 
-  ask(now: number, request: ForwardRequest): string {
+  forward(now: number, request: ForwardRequest): string {
     const { instance, boot } = this.context.options
     // Includes the boot, so that replies to an earlier process of this instance do not match.
     const id = `${instance}.${boot}.${++this.lastId}`
@@ -51,11 +51,11 @@
   }
 
   /** Drops a request whose answer is no longer needed. */
-  forget(id: string): void {
+  drop(id: string): void {
     this.pending.delete(id)
   }
 
-  takeReply(now: number, from: string, reply: JobReply): void {
+  handleReply(now: number, from: string, reply: JobReply): void {
     const pending = this.pending.get(reply.requestId)
     if (pending?.request.target !== from) {
       this.context.counters.strayReplies++
@@ -66,29 +66,29 @@
   }
 
   /** Fails the requests sent to an earlier boot; the new boot has no record of them. */
-  targetRestarted(now: number, target: string, boot: number): void {
+  handleRestart(now: number, target: string, boot: number): void {
     for (const [id, pending] of this.pending) {
       if (pending.request.target !== target || pending.boot !== boot) continue
-      this.fail(now, id, pending, ForwardLoss.TargetGone)
+      this.fail(now, id, pending, ForwardFailure.TargetGone)
     }
   }
 
   /** Resends a request that is still unanswered, or fails it at its expiry. */
-  checkLate(now: number, id: string): void {
+  checkTimeout(now: number, id: string): void {
     const pending = this.pending.get(id)
     if (pending === undefined) return
     const { target, expiresAt } = pending.request
     const { members, timing } = this.context
     if (now >= expiresAt) {
-      this.fail(now, id, pending, ForwardLoss.TimedOut)
+      this.fail(now, id, pending, ForwardFailure.TimedOut)
       return
     }
-    if (members.isPresent(target, pending.boot)) this.send(now, id, pending)
+    if (members.isAliveInBoot(target, pending.boot)) this.send(now, id, pending)
     else if (now >= members.heardAt(target) + timing.leaseMs + timing.leaseMarginMs) {
-      this.fail(now, id, pending, ForwardLoss.TargetGone)
+      this.fail(now, id, pending, ForwardFailure.TargetGone)
       return
     }
-    pending.resendMs = Math.min(pending.resendMs * 2, timing.askEveryMaxMs)
+    pending.resendMs = Math.min(pending.resendMs * 2, timing.maxQueryIntervalMs)
     this.scheduleTimeout(now, id, pending)
   }
 
@@ -97,13 +97,13 @@
     this.context.outbox.send(request.target, request.body(now, id))
   }
 
-  private fail(now: number, id: string, { request }: PendingRequest, loss: ForwardLoss): void {
+  private fail(now: number, id: string, { request }: PendingRequest, loss: ForwardFailure): void {
     this.pending.delete(id)
-    request.onLost(now, loss)
+    request.onFailure(now, loss)
   }
 
   private scheduleTimeout(now: number, forwardId: string, pending: PendingRequest): void {
     const at = Math.min(pending.request.expiresAt, now + pending.resendMs)
-    this.context.due.schedule(at, { kind: DueKind.ForwardLate, forwardId })
+    this.context.timers.schedule(at, { kind: TimerKind.ForwardTimeout, forwardId })
   }
 }
--- a/packages/coordinator/src/lib/jobs/JobEnding.ts
+++ b/packages/coordinator/src/lib/jobs/JobEnding.ts
@@ -1,8 +1,8 @@
 import type { JobAnswer } from '@cherryhitch/protocol'
 import { JobState } from '@cherryhitch/protocol'
 import type { CoordinatorContext } from '../CoordinatorContext'
-import { formatKeyId } from '../keys/KeyBook'
-import type { TaskFlight } from '../placement/TaskFlight'
+import { formatKeyId } from '../keys/KeyTable'
+import type { TaskTracker } from '../placement/TaskTracker'
 import type { Job } from './Job'
 import { JobPhase } from './Job'
 import type { JobProblem } from './jobAnswers'
@@ -18,7 +18,7 @@
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskFlight,
+    private readonly flight: TaskTracker,
   ) {}
 
   listen(listener: JobEndListener): void {
@@ -52,10 +52,10 @@
   }
 
   /** Removes a job whose waiters were answered or moved to another job. */
-  dissolve(job: Job): void {
+  discard(job: Job): void {
     job.phase = JobPhase.Ended
     this.context.jobs.remove(job)
-    this.context.keys.forget(formatKeyId(job.caller, job.spec.submissionKey), job.id)
+    this.context.keys.remove(formatKeyId(job.caller, job.spec.submissionKey), job.id)
   }
 
   private end(now: number, job: Job, answer: JobAnswer): void {
@@ -63,7 +63,7 @@
     const before = job.phase
     job.phase = JobPhase.Ended
     const { outbox, jobs, replies } = this.context
-    for (const waiter of job.waiters) replies.give(waiter, answer)
+    for (const waiter of job.waiters) replies.send(waiter, answer)
     const owners = this.flight.abandon(now, job)
     for (const owner of owners) outbox.cancel(owner, job.id, answer.reason)
     jobs.remove(job)
--- a/packages/coordinator/src/lib/jobs/JobBook.ts
+++ b/packages/coordinator/src/lib/jobs/JobTable.ts
@@ -1,7 +1,7 @@
 import type { Job } from './Job'
 
 /** Jobs in flight, with the number of their tasks per caller. @internal */
-export class JobBook {
+export class JobTable {
   private readonly bySequence = new Map<number, Job>()
   private readonly tasksOfCaller = new Map<string, number>()
   private taskCount = 0
--- a/packages/coordinator/src/lib/jobs/Replies.ts
+++ b/packages/coordinator/src/lib/jobs/Replies.ts
@@ -1,7 +1,7 @@
 import type { JobAnswer } from '@cherryhitch/protocol'
 import type { Outbox } from '../Outbox'
 import type { Job } from './Job'
-import type { RequestBook } from './RequestBook'
+import type { RequestTable } from './RequestTable'
 import type { Waiter } from './Waiter'
 import { isSameWaiter, WaiterKind } from './Waiter'
 
@@ -9,7 +9,7 @@
 export class Replies {
   constructor(
     private readonly outbox: Outbox,
-    private readonly requests: RequestBook,
+    private readonly requests: RequestTable,
   ) {}
 
   /** Makes a request wait for the end of a job. A resent request is attached only once. */
@@ -26,7 +26,7 @@
     this.requests.open(waiter.requestId, { forwardId })
   }
 
-  give(waiter: Waiter, answer: JobAnswer | undefined): void {
+  send(waiter: Waiter, answer: JobAnswer | undefined): void {
     if (waiter.kind === WaiterKind.Local) this.requests.close(waiter.requestId)
     this.outbox.reply(waiter, answer)
   }
@@ -37,7 +37,7 @@
     if (asyncWaiters.length === 0) return
     const remaining = job.waiters.filter((waiter) => !waiter.respondAsync)
     job.waiters.splice(0, job.waiters.length, ...remaining)
-    for (const waiter of asyncWaiters) this.give(waiter, answer)
+    for (const waiter of asyncWaiters) this.send(waiter, answer)
   }
 
   /** Removes the waiter of a caller that disconnected. */
--- a/packages/coordinator/src/lib/jobs/RequestBook.ts
+++ b/packages/coordinator/src/lib/jobs/RequestTable.ts
@@ -4,7 +4,7 @@
   | { readonly forwardId: string; readonly sequence?: undefined }
 
 /** Requests of connected callers that have not been replied to. @internal */
-export class RequestBook {
+export class RequestTable {
   private readonly requests = new Map<string, OpenRequest>()
 
   get size(): number {
--- a/packages/coordinator/src/lib/jobs/JobDesk.ts
+++ b/packages/coordinator/src/lib/jobs/SubmissionHandler.ts
@@ -3,9 +3,9 @@
 import type { JobSpec } from '@cherryhitch/protocol'
 import { Reason } from '@cherryhitch/protocol'
 import type { CoordinatorContext } from '../CoordinatorContext'
-import type { TaskPlacement } from '../placement/TaskPlacement'
-import { routedTask } from '../placement/TaskPlacement'
-import { DueKind } from '../timers/DueItem'
+import type { TaskPlacer } from '../placement/TaskPlacer'
+import { routedTask } from '../placement/TaskPlacer'
+import { TimerKind } from '../timers/CoordinatorTimer'
 import { Job } from './Job'
 import type { JobEnding } from './JobEnding'
 import type { JobProblem } from './jobAnswers'
@@ -27,13 +27,13 @@
 }
 
 /** Accepts submitted jobs: assigns ids, admits or refuses them, and starts them. @internal */
-export class JobDesk {
+export class SubmissionHandler {
   private lastSequence = 0
   draining = false
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly placement: TaskPlacement,
+    private readonly placement: TaskPlacer,
     private readonly ending: JobEnding,
   ) {}
 
@@ -71,7 +71,7 @@
   private refuse({ spec, waiter }: SubmitRequest, jobId: string, why: JobProblem): void {
     const { counters, policies, replies } = this.context
     counters.refused++
-    replies.give(waiter, refusedAnswer(jobId, spec.tasks.length, why, policies))
+    replies.send(waiter, refusedAnswer(jobId, spec.tasks.length, why, policies))
   }
 
   private nextId(): { id: string; sequence: number } {
@@ -122,8 +122,11 @@
   /** Registers an admitted job and schedules its deadline. */
   private register(now: number, job: Job): void {
     this.context.jobs.add(job)
-    this.context.policies.retries.noteFresh(now, job.tasks.length)
-    this.context.due.schedule(job.deadlineAt, { kind: DueKind.Deadline, sequence: job.sequence })
+    this.context.policies.retryBudget.recordNewTasks(now, job.tasks.length)
+    this.context.timers.schedule(job.deadlineAt, {
+      kind: TimerKind.Deadline,
+      sequence: job.sequence,
+    })
   }
 
   /** Places all tasks of a job, or refuses it as a whole. */
--- a/packages/coordinator/src/lib/keys/ClaimDesk.test.ts
+++ b/packages/coordinator/src/lib/keys/ClaimHandler.test.ts
@@ -37,12 +37,12 @@
 }
 
 function claimedIds(fixture: CoordinatorFixture): readonly string[] {
-  return fixture.of(CoordinatorActionKind.Claim).map(({ claim }) => claim.jobId)
+  return fixture.actionsOf(CoordinatorActionKind.Claim).map(({ claim }) => claim.jobId)
 }
 
 /** How claims were ended: the outcome of the stored answer, or that the key was released. */
 function ends(fixture: CoordinatorFixture): readonly string[] {
-  return fixture.of(CoordinatorActionKind.EndClaim).map(({ end }) => {
+  return fixture.actionsOf(CoordinatorActionKind.EndClaim).map(({ end }) => {
     if (end.answer.length === 0) return `${end.jobId} released`
     return `${end.jobId} ${Outcome[fromBinary(JobAnswerSchema, end.answer).outcome]}`
   })
--- a/packages/coordinator/src/lib/keys/ClaimDesk.ts
+++ b/packages/coordinator/src/lib/keys/ClaimHandler.ts
@@ -12,11 +12,11 @@
   Reason,
 } from '@cherryhitch/protocol'
 import type { CoordinatorContext } from '../CoordinatorContext'
-import type { Forwarding } from '../forwarding/Forwarding'
+import type { RequestForwarder } from '../forwarding/RequestForwarder'
 import type { Job } from '../jobs/Job'
 import { JobPhase } from '../jobs/Job'
 import { problem, runningAnswer } from '../jobs/jobAnswers'
-import type { JobDesk } from '../jobs/JobDesk'
+import type { SubmissionHandler } from '../jobs/SubmissionHandler'
 import type { JobEnding } from '../jobs/JobEnding'
 
 const QUORUM_RETRY_MS = 1000
@@ -54,14 +54,14 @@
  *
  * @internal
  */
-export class ClaimDesk {
+export class ClaimHandler {
   private readonly abandoned = new Map<string, AbandonedClaim>()
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly jobIntake: JobDesk,
+    private readonly jobIntake: SubmissionHandler,
     private readonly completion: JobEnding,
-    private readonly forwarding: Forwarding,
+    private readonly forwarding: RequestForwarder,
   ) {
     completion.listen((now, job, answer, phaseBefore) => {
       this.onJobEnded(now, job, answer, phaseBefore)
@@ -160,7 +160,7 @@
     }
     const holder = parseJobId(answer.jobId)
     const { options, members } = this.context
-    if (holder === undefined || !members.isPresent(holder.coordinator, holder.boot)) {
+    if (holder === undefined || !members.isAliveInBoot(holder.coordinator, holder.boot)) {
       this.completion.fail(now, job, outcomeUnknown)
     } else if (holder.coordinator === options.instance) {
       this.joinLocal(now, job, answer.jobId, holder.sequence)
@@ -180,7 +180,7 @@
       job.joinedId = holderId
       replies.answerAsync(job, runningAnswer(job, policies))
       replies.move(job, holder)
-      this.completion.dissolve(job)
+      this.completion.discard(job)
       return
     }
     const stored = answers.get(now, holderId)?.answer ?? this.abandonedAnswer(holderId, job.caller)
@@ -194,7 +194,7 @@
     job.joinedId = holderId
     replies.answerAsync(job, runningAnswer(job, policies))
     if (job.waiters.length === 0) {
-      this.completion.dissolve(job)
+      this.completion.discard(job)
       return
     }
     const finish = (at: number, answer: JobAnswer | undefined): void => {
@@ -203,7 +203,7 @@
       if (answer === undefined) this.completion.fail(at, job, outcomeUnknown)
       else this.completion.endWith(at, job, answer)
     }
-    this.forwarding.ask(now, {
+    this.forwarding.forward(now, {
       target,
       body: (_at, requestId) => ({
         case: 'jobQuery',
@@ -212,7 +212,7 @@
       expiresAt: job.deadlineAt,
       resendMs: timing.forwardTimeoutMs,
       onAnswer: finish,
-      onLost: (at) => {
+      onFailure: (at) => {
         finish(at, undefined)
       },
     })
--- a/packages/coordinator/src/lib/keys/KeyBook.ts
+++ b/packages/coordinator/src/lib/keys/KeyTable.ts
@@ -18,7 +18,7 @@
 }
 
 /** Submission keys of jobs that run here, or that ended here and whose answer is kept. @internal */
-export class KeyBook {
+export class KeyTable {
   private readonly entries = new Map<string, KeyEntry>()
 
   get size(): number {
@@ -34,7 +34,7 @@
   }
 
   /** Removes a key, unless a later job uses it now. */
-  forget(keyId: string, jobId: string): void {
+  remove(keyId: string, jobId: string): void {
     if (this.entries.get(keyId)?.jobId === jobId) this.entries.delete(keyId)
   }
 }
--- a/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
+++ b/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
@@ -4,17 +4,17 @@
 import type { JobAnswer, JobSpec } from '@cherryhitch/protocol'
 import { ForwardJobSchema, JobSpecSchema, JobState, Outcome, Reason } from '@cherryhitch/protocol'
 import type { CoordinatorContext } from '../CoordinatorContext'
-import type { Forwarding } from '../forwarding/Forwarding'
-import { ForwardLoss } from '../forwarding/Forwarding'
+import type { RequestForwarder } from '../forwarding/RequestForwarder'
+import { ForwardFailure } from '../forwarding/RequestForwarder'
 import type { Job } from '../jobs/Job'
 import { JobPhase } from '../jobs/Job'
 import { problem, runningAnswer, unknownAnswer } from '../jobs/jobAnswers'
 import type { JobProblem } from '../jobs/jobAnswers'
-import type { JobDesk, SubmitRequest } from '../jobs/JobDesk'
-import type { ClaimDesk } from './ClaimDesk'
+import type { SubmissionHandler, SubmitRequest } from '../jobs/SubmissionHandler'
+import type { ClaimHandler } from './ClaimHandler'
 import { contentHash } from './contentHash'
-import type { KeyEntry } from './KeyBook'
-import { formatKeyId, mayReuseAnswer } from './KeyBook'
+import type { KeyEntry } from './KeyTable'
+import { formatKeyId, mayReuseAnswer } from './KeyTable'
 
 /**
  * Time allowed after the deadline for the reply to arrive, since the coordinator of a forwarded job
@@ -44,9 +44,9 @@
 export class KeyedJobHandler {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly jobIntake: JobDesk,
-    private readonly claims: ClaimDesk,
-    private readonly forwarding: Forwarding,
+    private readonly jobIntake: SubmissionHandler,
+    private readonly claims: ClaimHandler,
+    private readonly forwarding: RequestForwarder,
   ) {}
 
   submit(now: number, request: SubmitRequest): void {
@@ -88,7 +88,7 @@
     }
     this.context.counters.keyHits++
     if (job !== undefined) this.join(job, request)
-    else replies.give(request.waiter, kept?.answer)
+    else replies.send(request.waiter, kept?.answer)
     return true
   }
 
@@ -123,9 +123,9 @@
     )
     const failForward = (at: number, cause: JobProblem): void => {
       this.recordSpan(now, at, spec, traceparent, target, false)
-      replies.give(waiter, unknownAnswer('', cause, this.context.policies))
+      replies.send(waiter, unknownAnswer('', cause, this.context.policies))
     }
-    const forwardId = this.forwarding.ask(now, {
+    const forwardId = this.forwarding.forward(now, {
       target,
       body: (at, requestId) => {
         const job = withRemainingTime(spec, deadlineAt - at, traceparent)
@@ -148,10 +148,10 @@
           return
         }
         this.recordSpan(now, at, spec, traceparent, target, answer.state === JobState.SUCCEEDED)
-        replies.give(waiter, answer)
+        replies.send(waiter, answer)
       },
-      onLost: (at, loss) => {
-        failForward(at, loss === ForwardLoss.TargetGone ? targetGone : timedOut)
+      onFailure: (at, loss) => {
+        failForward(at, loss === ForwardFailure.TargetGone ? targetGone : timedOut)
       },
     })
     replies.attachForward(waiter, forwardId)
--- a/packages/coordinator/src/lib/members/MemberChange.ts
+++ b/packages/coordinator/src/lib/members/MemberChange.ts
@@ -3,7 +3,7 @@
   /** The instance was silent for too long, or is no longer in the view. */
   Lost = 'lost',
   /** The instance is heard of again, in the same boot. */
-  Back = 'back',
+  Recovered = 'back',
   /** Another boot of the instance is heard of, so the earlier one has ended for good. */
   Restarted = 'restarted',
 }
--- a/packages/coordinator/src/lib/members/MemberTable.ts
+++ b/packages/coordinator/src/lib/members/MemberTable.ts
@@ -48,7 +48,7 @@
   }
 
   /** Whether an instance is alive and still in the given boot. */
-  isPresent(instance: string, boot: number): boolean {
+  isAliveInBoot(instance: string, boot: number): boolean {
     return this.isAlive(instance) && this.bootOf(instance) === boot
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** The other live instances in the availability zone of an instance. */
-  zoneMates(instance: string): readonly string[] {
+  liveZonePeers(instance: string): readonly string[] {
     const zone = this.byName.get(instance)?.zone
     const peers = [...this.byName.values()].filter((member) => member.zone === zone && member.alive)
     return peers.map((member) => member.instance).filter((name) => name !== instance)
@@ -90,7 +90,7 @@
   }
 
   /** Predicted wait at an owner, in milliseconds. */
-  waitAt(instance: string, service: string): number {
+  predictedWaitMs(instance: string, service: string): number {
     return this.offerByKey.get(offerKey(instance, service))?.waitMs ?? 0
   }
 
@@ -165,7 +165,7 @@
   if (after !== undefined && after.boot !== before.boot) return MemberChangeKind.Restarted
   const isAlive = after?.alive ?? false
   if (before.alive === isAlive) return undefined
-  return isAlive ? MemberChangeKind.Back : MemberChangeKind.Lost
+  return isAlive ? MemberChangeKind.Recovered : MemberChangeKind.Lost
 }
 
 function omitRedundantSilent(
--- a/packages/coordinator/src/lib/placement/LossWatch.ts
+++ b/packages/coordinator/src/lib/placement/OwnerLossHandler.ts
@@ -11,10 +11,10 @@
 import type { Placement } from '../jobs/Placement'
 import type { MemberChange } from '../members/MemberChange'
 import { MemberChangeKind } from '../members/MemberChange'
-import { DueKind } from '../timers/DueItem'
-import type { ReportDesk } from './ReportDesk'
-import type { Retries } from './Retries'
-import type { TaskFlight } from './TaskFlight'
+import { TimerKind } from '../timers/CoordinatorTimer'
+import type { ReportHandler } from './ReportHandler'
+import type { RetryScheduler } from './RetryScheduler'
+import type { TaskTracker } from './TaskTracker'
 
 /** A "never seen" reply from an owner whose boot at the time of the reply is not confirmed yet. */
 interface UnconfirmedFence {
@@ -38,41 +38,45 @@
  *
  * @internal
  */
-export class LossWatch {
+export class OwnerLossHandler {
   private readonly unconfirmed = new Map<string, UnconfirmedFence[]>()
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskFlight,
-    private readonly reports: ReportDesk,
-    private readonly retries: Retries,
+    private readonly flight: TaskTracker,
+    private readonly reports: ReportHandler,
+    private readonly retries: RetryScheduler,
     private readonly ending: JobEnding,
   ) {}
 
-  takeChange(now: number, change: MemberChange): void {
-    const { inFlight, counters } = this.context
+  handleMemberChange(now: number, change: MemberChange): void {
+    const { tasksByOwner: inFlight, counters } = this.context
     const tasks = inFlight.of(change.instance)
     if (change.kind === MemberChangeKind.Restarted)
-      this.context.outbox.forgetCancels(change.instance)
+      this.context.outbox.discardCancels(change.instance)
     if (tasks.size === 0) return
-    if (change.kind === MemberChangeKind.Back) {
+    if (change.kind === MemberChangeKind.Recovered) {
       this.sendFenceRequests(change.instance, tasks)
       return
     }
     counters.ownersLost++
     this.scheduleLeaseExpiry(now, change)
     // A draining owner may have passed its queued tasks on to another owner in its zone.
-    for (const peer of this.context.members.zoneMates(change.instance))
+    for (const peer of this.context.members.liveZonePeers(change.instance))
       this.sendFenceRequests(peer, tasks)
     if (change.kind === MemberChangeKind.Restarted) this.sendFenceRequests(change.instance, tasks)
   }
 
   /** Fails the tasks of a lost owner once their leases have expired, unless it has returned. */
-  ownerGone(now: number, owner: string, boot: number): void {
-    const { members, inFlight } = this.context
-    if (members.isPresent(owner, boot)) return
+  handleLeasesExpired(now: number, owner: string, boot: number): void {
+    const { members, tasksByOwner: inFlight } = this.context
+    if (members.isAliveInBoot(owner, boot)) return
     if (members.bootOf(owner) === boot && now < this.leaseEndAt(owner)) {
-      this.context.due.schedule(this.leaseEndAt(owner), { kind: DueKind.OwnerGone, owner, boot })
+      this.context.timers.schedule(this.leaseEndAt(owner), {
+        kind: TimerKind.OwnerLeasesExpired,
+        owner,
+        boot,
+      })
       return
     }
     const lost = [...inFlight.of(owner)].filter((task) => task.placement?.boot === boot)
@@ -83,24 +87,25 @@
    * Queries owners about tasks that run much longer than expected, as a message may have been
    * lost. Repeats with exponential back-off until the job ends.
    */
-  askAfterLate(now: number, job: Job): void {
+  checkLateTasks(now: number, job: Job): void {
     if (job.phase !== JobPhase.Running) return
     job.lateCheckScheduled = false
-    const { timing, members, due } = this.context
-    const late = job.tasks.filter((task) => isOlderThan(task, now - timing.askAfterMs))
+    const { timing, members, timers: due } = this.context
+    const late = job.tasks.filter((task) => isOlderThan(task, now - timing.lateTaskQueryMs))
     const expired: TaskRecord[] = []
     for (const [owner, tasks] of groupBy(late, ownerOf)) {
       if (members.isAlive(owner)) this.sendFenceRequests(owner, tasks)
       else if (now >= this.leaseEndAt(owner)) expired.push(...tasks)
     }
     this.failLostTasks(now, expired)
-    const nextAt = now + Math.min(timing.askEveryMaxMs, timing.askAfterMs * 2 ** job.lateChecks++)
+    const nextAt =
+      now + Math.min(timing.maxQueryIntervalMs, timing.lateTaskQueryMs * 2 ** job.lateChecks++)
     if (job.tasksEnded === job.tasks.length || nextAt >= job.deadlineAt) return
     job.lateCheckScheduled = true
-    due.schedule(nextAt, { kind: DueKind.AskAfterLate, sequence: job.sequence })
+    due.schedule(nextAt, { kind: TimerKind.CheckLateTasks, sequence: job.sequence })
   }
 
-  takeFenceReports(now: number, from: string, message: FenceReports): void {
+  handleFenceReports(now: number, from: string, message: FenceReports): void {
     const job = this.reports.findJob(message.jobId, message.reports.length)
     if (job === undefined) return
     const notRun: TaskRecord[] = []
@@ -182,10 +187,10 @@
    * not known, so it ends with an unknown outcome after one lease.
    */
   private awaitLeaseExpiry(now: number, task: TaskRecord, { owner, spanId }: Placement): void {
-    const { due, timing } = this.context
+    const { timers: due, timing } = this.context
     this.flight.passOn(now, task, adoptedPlacement(now, owner, NO_BOOT, spanId))
     const at = now + timing.leaseMs + timing.leaseMarginMs
-    due.schedule(at, { kind: DueKind.OwnerGone, owner, boot: NO_BOOT })
+    due.schedule(at, { kind: TimerKind.OwnerLeasesExpired, owner, boot: NO_BOOT })
   }
 
   private isKnownOwner(from: string, task: TaskRecord): boolean {
@@ -218,13 +223,13 @@
   }
 
   private scheduleLeaseExpiry(now: number, change: MemberChange): void {
-    const { timing, due } = this.context
+    const { timing, timers: due } = this.context
     const { kind, instance, boot, heardAt } = change
     const leaseMs = timing.leaseMs + timing.leaseMarginMs
     const isRestart = kind === MemberChangeKind.Restarted
     // The last lease renewal of the earlier boot is not known, so a full lease is allowed from now.
     const at = isRestart ? now + leaseMs : Math.max(now, heardAt + leaseMs)
-    due.schedule(at, { kind: DueKind.OwnerGone, owner: instance, boot })
+    due.schedule(at, { kind: TimerKind.OwnerLeasesExpired, owner: instance, boot })
   }
 
   private leaseEndAt(owner: string): number {
--- a/packages/coordinator/src/lib/placement/ReportDesk.ts
+++ b/packages/coordinator/src/lib/placement/ReportHandler.ts
@@ -7,9 +7,9 @@
 import type { JobEnding } from '../jobs/JobEnding'
 import type { JobProblem } from '../jobs/jobAnswers'
 import { problem } from '../jobs/jobAnswers'
-import type { Retries } from './Retries'
-import { reportedProblem } from './Retries'
-import type { TaskFlight } from './TaskFlight'
+import type { RetryScheduler } from './RetryScheduler'
+import { reportedProblem } from './RetryScheduler'
+import type { TaskTracker } from './TaskTracker'
 
 interface NotRunReport {
   readonly task: TaskRecord
@@ -17,15 +17,15 @@
 }
 
 /** Processes task reports from owners, and ignores repeated ones. @internal */
-export class ReportDesk {
+export class ReportHandler {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskFlight,
-    private readonly retries: Retries,
+    private readonly flight: TaskTracker,
+    private readonly retries: RetryScheduler,
     private readonly ending: JobEnding,
   ) {}
 
-  take(now: number, from: string, message: TaskReports): void {
+  handle(now: number, from: string, message: TaskReports): void {
     for (const reports of message.jobs) this.handleJobReports(now, from, reports)
   }
 
--- a/packages/coordinator/src/lib/placement/Retries.ts
+++ b/packages/coordinator/src/lib/placement/RetryScheduler.ts
@@ -7,8 +7,8 @@
 import type { JobEnding } from '../jobs/JobEnding'
 import type { JobProblem } from '../jobs/jobAnswers'
 import { problem } from '../jobs/jobAnswers'
-import { DueKind } from '../timers/DueItem'
-import type { TaskPlacement } from './TaskPlacement'
+import { TimerKind } from '../timers/CoordinatorTimer'
+import type { TaskPlacer } from './TaskPlacer'
 
 const HASH_DIGITS = 8
 const HASH_RANGE = 0x1_0000_0000
@@ -39,10 +39,10 @@
 )
 
 /** Retries tasks that are known not to have run, within the retry budget. @internal */
-export class Retries {
+export class RetryScheduler {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly placement: TaskPlacement,
+    private readonly placement: TaskPlacer,
     private readonly ending: JobEnding,
   ) {}
 
@@ -58,7 +58,7 @@
       return
     }
     const newOwnerWaitMs = movedEndpointReasons.has(why.reason)
-      ? this.context.timing.ownerPatienceMs
+      ? this.context.timing.newOwnerWaitMs
       : 0
     const byDelay = new Map<number, TaskRecord[]>()
     for (const task of tasks) {
@@ -105,7 +105,7 @@
 
   private takeRetryDelayMs(now: number, job: Job, task: TaskRecord): number | undefined {
     const retried = task.attempt - 1
-    return this.context.policies.retries.takeRetry(
+    return this.context.policies.retryBudget.takeRetry(
       now,
       retried,
       hashToUnitInterval(`${job.id}/${task.attempt}`),
@@ -113,8 +113,8 @@
   }
 
   private schedule(at: number, job: Job, indexes: readonly number[], giveUpAt: number): void {
-    const item = { kind: DueKind.Retry, sequence: job.sequence, indexes, giveUpAt } as const
-    this.context.due.schedule(at, item)
+    const item = { kind: TimerKind.Retry, sequence: job.sequence, indexes, giveUpAt } as const
+    this.context.timers.schedule(at, item)
   }
 }
 
--- a/packages/coordinator/src/lib/placement/TaskPlacement.ts
+++ b/packages/coordinator/src/lib/placement/TaskPlacer.ts
@@ -6,9 +6,9 @@
 import type { CoordinatorContext } from '../CoordinatorContext'
 import type { Job, TaskRecord } from '../jobs/Job'
 import { newPlacement } from '../jobs/Placement'
-import { DueKind } from '../timers/DueItem'
-import type { TaskFlight } from './TaskFlight'
-import { serviceOf } from './TaskFlight'
+import { TimerKind } from '../timers/CoordinatorTimer'
+import type { TaskTracker } from './TaskTracker'
+import { serviceOf } from './TaskTracker'
 
 /** Owners are queried about a task once it takes this many times its expected duration. */
 const LATE_FACTOR = 3
@@ -19,10 +19,10 @@
 export type Routes = ReadonlyMap<string, readonly TaskRecord[]>
 
 /** Assigns tasks to owners and sends them. @internal */
-export class TaskPlacement {
+export class TaskPlacer {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskFlight,
+    private readonly flight: TaskTracker,
   ) {}
 
   /** @returns undefined when any of the tasks has no eligible owner */
@@ -86,19 +86,19 @@
   private expectedMs(owner: string, tasks: readonly TaskRecord[]): number {
     let longest = 0
     for (const task of tasks) {
-      const waitMs = this.context.members.waitAt(owner, serviceOf(task))
+      const waitMs = this.context.members.predictedWaitMs(owner, serviceOf(task))
       longest = Math.max(longest, waitMs + task.estimateMs)
     }
     return longest
   }
 
   private scheduleLateCheck(now: number, job: Job, expectedMs: number): void {
-    const { askAfterMs, askAfterMaxMs } = this.context.timing
+    const { lateTaskQueryMs: askAfterMs, lateTaskQueryMaxMs: askAfterMaxMs } = this.context.timing
     const lateMs = Math.min(Math.max(askAfterMs, LATE_FACTOR * expectedMs), askAfterMaxMs)
     const at = now + lateMs
     if (at >= job.deadlineAt || job.lateCheckScheduled) return
     job.lateCheckScheduled = true
-    this.context.due.schedule(at, { kind: DueKind.AskAfterLate, sequence: job.sequence })
+    this.context.timers.schedule(at, { kind: TimerKind.CheckLateTasks, sequence: job.sequence })
   }
 }
 
--- a/packages/coordinator/src/lib/placement/TaskFlight.ts
+++ b/packages/coordinator/src/lib/placement/TaskTracker.ts
@@ -11,13 +11,13 @@
  *
  * @internal
  */
-export class TaskFlight {
+export class TaskTracker {
   constructor(private readonly context: CoordinatorContext) {}
 
   place(now: number, task: TaskRecord, placement: Placement): void {
     const { job } = task
     job.markPlaced(task, placement)
-    this.context.inFlight.add(placement.owner, task)
+    this.context.tasksByOwner.add(placement.owner, task)
     this.context.members.notePlaced(now, placement.owner, serviceOf(task))
   }
 
@@ -44,7 +44,7 @@
   passOn(now: number, task: TaskRecord, placement: Placement): void {
     const previous = this.detachFromOwner(task)
     task.job.markPassedOn(task, placement)
-    this.context.inFlight.add(placement.owner, task)
+    this.context.tasksByOwner.add(placement.owner, task)
     this.emitSpanIfSettled(now, task.job, previous)
   }
 
@@ -69,7 +69,7 @@
   private detachFromOwner(task: TaskRecord): Placement | undefined {
     const { placement } = task
     if (placement === undefined) return undefined
-    this.context.inFlight.remove(placement.owner, task)
+    this.context.tasksByOwner.remove(placement.owner, task)
     this.context.members.noteEnded(placement.owner, serviceOf(task), placement.placedAt)
     return placement
   }
--- a/packages/coordinator/src/lib/timers/DueItem.ts
+++ b/packages/coordinator/src/lib/timers/CoordinatorTimer.ts
@@ -1,10 +1,10 @@
 /** Kinds of timers of a coordinator. @internal */
-export enum DueKind {
+export enum TimerKind {
   Deadline = 'deadline',
-  AskAfterLate = 'ask_after_late',
+  CheckLateTasks = 'ask_after_late',
   Retry = 'retry',
-  OwnerGone = 'owner_gone',
-  ForwardLate = 'forward_late',
+  OwnerLeasesExpired = 'owner_gone',
+  ForwardTimeout = 'forward_late',
 }
 
 /**
@@ -13,16 +13,16 @@
  *
  * @internal
  */
-export type DueItem =
-  | { readonly kind: DueKind.Deadline; readonly sequence: number }
-  | { readonly kind: DueKind.AskAfterLate; readonly sequence: number }
+export type CoordinatorTimer =
+  | { readonly kind: TimerKind.Deadline; readonly sequence: number }
+  | { readonly kind: TimerKind.CheckLateTasks; readonly sequence: number }
   | {
-      readonly kind: DueKind.Retry
+      readonly kind: TimerKind.Retry
       readonly sequence: number
       readonly indexes: readonly number[]
       /** Until this time, the tasks wait for an owner if there is none. */
       readonly giveUpAt: number
     }
   /** The leases granted by a lost owner's boot have expired. */
-  | { readonly kind: DueKind.OwnerGone; readonly owner: string; readonly boot: number }
-  | { readonly kind: DueKind.ForwardLate; readonly forwardId: string }
+  | { readonly kind: TimerKind.OwnerLeasesExpired; readonly owner: string; readonly boot: number }
+  | { readonly kind: TimerKind.ForwardTimeout; readonly forwardId: string }
--- a/packages/dispatch/src/index.ts
+++ b/packages/dispatch/src/index.ts
@@ -8,7 +8,7 @@
 export type { DispatchAction } from './lib/DispatchAction'
 export { DispatchEventKind } from './lib/DispatchEvent'
 export type { DispatchEvent } from './lib/DispatchEvent'
-export type { LossNews } from './lib/crashes/LossNews'
+export type { LossUpdate } from './lib/crashes/LossUpdate'
 export { DispatchMachine } from './lib/DispatchMachine'
 export { defaultDispatchTiming } from './lib/DispatchOptions'
 export type { DispatchOptions, DispatchTiming } from './lib/DispatchOptions'
@@ -29,7 +29,7 @@
 export type { ProxyInstance } from './lib/orders/ProxyAssignments'
 export { defaultRelayTiming, JobRelay, RelayActionKind, RelayEventKind } from './lib/relay/JobRelay'
 export type { RelayAction, RelayEvent, RelayTiming } from './lib/relay/JobRelay'
-export { Rehearsal } from './lib/rehearsal/Rehearsal'
+export { LeaderWarmup } from './lib/warmup/LeaderWarmup'
 export { startDispatcher } from './lib/startDispatcher'
 export type { Dispatcher, DispatcherOptions } from './lib/startDispatcher'
 export { runDispatchSoak } from './lib/soak/runDispatchSoak'
@@ -38,12 +38,12 @@
 export { JobAdmission } from './lib/scheduling/JobAdmission'
 export type { AdmissionDecision, AdmissionInput, RefusedJob } from './lib/scheduling/JobAdmission'
 export {
-  ArrivalOrder,
-  defaultSlackOrderOptions,
-  JobOrder,
-  SlackOrder,
-} from './lib/scheduling/JobOrder'
-export type { SlackOrderOptions } from './lib/scheduling/JobOrder'
-export { OpenAdmission } from './lib/scheduling/OpenAdmission'
+  FifoPolicy,
+  defaultLeastSlackPolicyOptions,
+  QueuePolicy,
+  LeastSlackPolicy,
+} from './lib/scheduling/QueuePolicy'
+export type { LeastSlackPolicyOptions } from './lib/scheduling/QueuePolicy'
+export { UnconditionalAdmission } from './lib/scheduling/UnconditionalAdmission'
 export { playLoad } from './lib/soak/playLoad'
 export type { LoadOptions, LoadOutcome } from './lib/soak/playLoad'
--- a/packages/dispatch/src/lib/DispatchAction.ts
+++ b/packages/dispatch/src/lib/DispatchAction.ts
@@ -1,12 +1,12 @@
 import type { EndpointNotice, EndpointOrder, JobOutcome } from '@cherryhitch/protocol'
-import type { LossNews } from './crashes/LossNews'
+import type { LossUpdate } from './crashes/LossUpdate'
 
 /** Kinds of actions that the dispatcher requests. @public */
 export enum DispatchActionKind {
   Order = 'order',
   Answer = 'answer',
-  Spread = 'spread',
-  SpreadLoss = 'spread_loss',
+  BroadcastNotice = 'spread',
+  BroadcastLosses = 'spread_loss',
   Log = 'log',
   Measure = 'measure',
 }
@@ -18,7 +18,7 @@
   /** From a start order to its answer. */
   Start = 'start',
   /** From the arrival of the job at the leader to its verdict. */
-  Whole = 'whole',
+  Total = 'whole',
 }
 
 /** Sends an order, which is a command of the leader to an endpoint. @public */
@@ -35,12 +35,12 @@
   | SendOrder
   | { readonly kind: DispatchActionKind.Answer; readonly to: string; readonly outcome: JobOutcome }
   /** Broadcast the notice of a new endpoint to all instances that may become leader. */
-  | { readonly kind: DispatchActionKind.Spread; readonly notice: EndpointNotice }
+  | { readonly kind: DispatchActionKind.BroadcastNotice; readonly notice: EndpointNotice }
   /** Broadcast a report on lost endpoints to all instances that may become leader. */
-  | { readonly kind: DispatchActionKind.SpreadLoss; readonly news: LossNews }
+  | { readonly kind: DispatchActionKind.BroadcastLosses; readonly losses: LossUpdate }
   | {
       readonly kind: DispatchActionKind.Log
-      readonly sentence: string
+      readonly message: string
       readonly fields: Readonly<Record<string, unknown>>
     }
   | {
--- a/packages/dispatch/src/lib/DispatchCore.ts
+++ b/packages/dispatch/src/lib/DispatchCore.ts
@@ -1,10 +1,10 @@
 import {
   AlwaysHealthy,
-  CountedCrashBlame,
+  CountedCrashAttribution,
   DecayedScoreHealth,
   DeclaredEstimator,
   LearnedEstimator,
-  NeverBlamed,
+  NoCrashAttribution,
   SlownessTracker,
 } from '@cherryhitch/policy'
 import type { EndpointHealth, EstimateSubject, RunTimeEstimator } from '@cherryhitch/policy'
@@ -22,7 +22,7 @@
 import type { DispatchOptions, DispatchTiming } from './DispatchOptions'
 import { Mechanism } from '@cherryhitch/model'
 import { LossLedger } from './crashes/LossLedger'
-import { EndpointBook } from './endpoints/EndpointBook'
+import { EndpointRegistry } from './endpoints/EndpointRegistry'
 import type { EndpointRecord } from './endpoints/EndpointRecord'
 import { makeFencingToken } from './endpoints/fencingToken'
 import type { JobWaiter } from './jobs/Job'
@@ -84,7 +84,7 @@
 /** State shared by all parts of the dispatcher, and the actions of the current step. @internal */
 export class DispatchCore {
   readonly timing: DispatchTiming
-  readonly endpoints: EndpointBook
+  readonly endpoints: EndpointRegistry
   readonly estimator: RunTimeEstimator
   readonly slowness = new SlownessTracker()
   readonly health: EndpointHealth
@@ -129,7 +129,7 @@
   /** When a majority last confirmed this leader. */
   confirmedAt = -Infinity
   /** When an order to any endpoint was last considered lost. */
-  silenceAt = -Infinity
+  lastLostOrderAt = -Infinity
   table: RoutingTable | undefined
   readonly #disabled: ReadonlySet<Mechanism>
   #actions: DispatchAction[] = []
@@ -138,31 +138,33 @@
   constructor(options: DispatchOptions) {
     this.timing = { ...defaultDispatchTiming, ...options.timing }
     this.#disabled = new Set(options.without)
-    if (!this.uses(Mechanism.RoundTrips)) {
-      this.timing = { ...this.timing, leastAnswerMs: this.timing.startTimeoutMs }
+    if (!this.isEnabled(Mechanism.AdaptiveTimeouts)) {
+      this.timing = { ...this.timing, minAnswerTimeoutMs: this.timing.maxAnswerTimeoutMs }
     }
-    this.estimator = this.uses(Mechanism.LearnedEstimates)
+    this.estimator = this.isEnabled(Mechanism.LearnedEstimates)
       ? new LearnedEstimator()
       : new DeclaredEstimator()
-    this.health = this.uses(Mechanism.Health) ? new DecayedScoreHealth() : new AlwaysHealthy()
-    const blame = this.uses(Mechanism.CrashBlame) ? new CountedCrashBlame() : new NeverBlamed()
-    this.losses = new LossLedger(blame, this.timing.keepVerdictMs)
-    this.endpoints = new EndpointBook(this.timing, this.health, this.slowness)
+    this.health = this.isEnabled(Mechanism.Health) ? new DecayedScoreHealth() : new AlwaysHealthy()
+    const blame = this.isEnabled(Mechanism.CrashAttribution)
+      ? new CountedCrashAttribution()
+      : new NoCrashAttribution()
+    this.losses = new LossLedger(blame, this.timing.verdictRetentionMs)
+    this.endpoints = new EndpointRegistry(this.timing, this.health, this.slowness)
   }
 
   /** Whether a mechanism is enabled. */
-  uses(mechanism: Mechanism): boolean {
+  isEnabled(mechanism: Mechanism): boolean {
     return !this.#disabled.has(mechanism)
   }
 
   /** Local time at which all orders of this leader expire, unless a majority confirms it again. */
-  get ordersEndAt(): number {
+  get ordersExpireAt(): number {
     return this.confirmedAt + this.timing.leaderLeaseMs
   }
 
   /** Ratio of run times at an endpoint to those of the same work at its peers. */
   slownessOf(now: number, endpoint: EndpointRecord): number {
-    if (!this.uses(Mechanism.Slowness)) return 1
+    if (!this.isEnabled(Mechanism.Slowness)) return 1
     return endpoint.slowness(now, () => this.slowness.slowness(now, endpoint.id))
   }
 
@@ -176,8 +178,8 @@
    *
    * @returns the id of the order, which its answer repeats
    */
-  order(now: number, target: EndpointRecord, body: OrderBody): number {
-    const { id: endpoint, notice, lifeNumber } = target
+  sendOrder(now: number, target: EndpointRecord, body: OrderBody): number {
+    const { id: endpoint, notice, incarnationNumber: lifeNumber } = target
     const { address, zone } = notice
     this.#lastOrderId = (this.#lastOrderId + 1) % ORDER_ID_RANGE
     const order = makeEndpointOrder({
@@ -192,8 +194,8 @@
     return order.id
   }
 
-  log(sentence: string, fields: Readonly<Record<string, unknown>>): void {
-    this.emit({ kind: DispatchActionKind.Log, sentence, fields })
+  log(message: string, fields: Readonly<Record<string, unknown>>): void {
+    this.emit({ kind: DispatchActionKind.Log, message: message, fields })
   }
 
   answer({ instance, requestId }: JobWaiter, verdict: JobVerdict, more: OutcomeFields = {}): void {
--- a/packages/dispatch/src/lib/DispatchMachine.takeover.test.ts
+++ b/packages/dispatch/src/lib/DispatchMachine.takeover.test.ts
@@ -33,16 +33,20 @@
 describe('a leader', () => {
   it('does not rerun a completed job that is submitted again after a late cancellation', () => {
     const leader = new DispatchMachine({})
-    leader.step(0, { kind: DispatchEventKind.Lead, term: 1, table: TABLE })
+    leader.step(0, { kind: DispatchEventKind.BecomeLeader, term: 1, table: TABLE })
     const submit = (now: number, requestId: string): readonly DispatchAction[] => {
       const spec = makeSteppedJob('j', 'p', [])
       const waits = { remainingMs: 1_000, waitedMs: 0, earlierAttempts: 0 }
       const req = makeSubmitJob({ requestId, spec, ...PLACE, ...waits })
-      return leader.step(now, { kind: DispatchEventKind.Submit, from: 'e', req })
+      return leader.step(now, { kind: DispatchEventKind.SubmitJob, from: 'e', req })
     }
     assert.deepEqual(verdictsOf(submit(1, '1')), [JobVerdict.COMPLETED])
     const question = { requestId: '2', kind: JobQuestionKind.CANCEL, ...PLACE }
-    leader.step(2, { kind: DispatchEventKind.Ask, from: 'e', req: create(AskJobSchema, question) })
+    leader.step(2, {
+      kind: DispatchEventKind.QueryJob,
+      from: 'e',
+      req: create(AskJobSchema, question),
+    })
     assert.deepEqual(verdictsOf(submit(3, '3')), [JobVerdict.COMPLETED])
     assert.equal(leader.counters.jobs_taken, 1)
   })
@@ -79,13 +83,17 @@
 
   it('starts no task of a job that was cancelled before a receiving instance resubmitted it', () => {
     const leader = new DispatchMachine({})
-    leader.step(0, { kind: DispatchEventKind.Lead, term: 2, table: TABLE })
+    leader.step(0, { kind: DispatchEventKind.BecomeLeader, term: 2, table: TABLE })
     const question = { requestId: '1', kind: JobQuestionKind.CANCEL, ...PLACE }
-    leader.step(1, { kind: DispatchEventKind.Ask, from: 'e', req: create(AskJobSchema, question) })
+    leader.step(1, {
+      kind: DispatchEventKind.QueryJob,
+      from: 'e',
+      req: create(AskJobSchema, question),
+    })
     const spec = makeSteppedJob('j', 'p', [])
     const waits = { remainingMs: 1_000, waitedMs: 200, earlierAttempts: 1 }
     const req = makeSubmitJob({ requestId: '2', spec, ...PLACE, ...waits })
-    const actions = leader.step(2, { kind: DispatchEventKind.Submit, from: 'e', req })
+    const actions = leader.step(2, { kind: DispatchEventKind.SubmitJob, from: 'e', req })
     assert.equal(leader.openJobs, 0)
     assert.deepEqual(verdictsOf(actions), [JobVerdict.CANCELLED])
   })
--- a/packages/dispatch/src/lib/DispatchMachine.ts
+++ b/packages/dispatch/src/lib/DispatchMachine.ts
@@ -1,8 +1,8 @@
 import { exhaustive, Mechanism } from '@cherryhitch/model'
 import { NoticeState } from '@cherryhitch/protocol'
 import type { EndpointNotice } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
-import type { LossNews } from './crashes/LossNews'
+import { StateMachine } from '@cherryhitch/runtime'
+import type { LossUpdate } from './crashes/LossUpdate'
 import { DispatchActionKind } from './DispatchAction'
 import type { DispatchAction } from './DispatchAction'
 import { DispatchCore } from './DispatchCore'
@@ -18,9 +18,9 @@
 import { AnswerHandler } from './orders/AnswerHandler'
 import { ForecastAdmission } from './scheduling/ForecastAdmission'
 import type { JobAdmission } from './scheduling/JobAdmission'
-import { ArrivalOrder, SlackOrder } from './scheduling/JobOrder'
-import type { JobOrder } from './scheduling/JobOrder'
-import { OpenAdmission } from './scheduling/OpenAdmission'
+import { FifoPolicy, LeastSlackPolicy } from './scheduling/QueuePolicy'
+import type { QueuePolicy } from './scheduling/QueuePolicy'
+import { UnconditionalAdmission } from './scheduling/UnconditionalAdmission'
 import { Scheduler } from './scheduling/Scheduler'
 
 /** Interval of the search for expired endpoints, in milliseconds; they expire after seconds. */
@@ -38,7 +38,7 @@
  *
  * @public
  */
-export class DispatchMachine extends Machine<DispatchEvent, DispatchAction> {
+export class DispatchMachine extends StateMachine<DispatchEvent, DispatchAction> {
   readonly #core: DispatchCore
   readonly #leases: LeaseLoop
   readonly #lifecycle: JobLifecycle
@@ -68,18 +68,20 @@
       admission,
       unlisted: this.#lifecycle.unlisted,
       refuse: (now, refused) => {
-        this.#lifecycle.refuseAtDoor(now, refused)
+        this.#lifecycle.refuseByAdmission(now, refused)
       },
     })
   }
 
-  #defaultQueuePolicy(): JobOrder {
-    if (!this.#core.uses(Mechanism.Order)) return new ArrivalOrder()
-    return new SlackOrder({ inProgressFirst: this.#core.uses(Mechanism.UnderWayFirst) })
+  #defaultQueuePolicy(): QueuePolicy {
+    if (!this.#core.isEnabled(Mechanism.QueuePolicy)) return new FifoPolicy()
+    return new LeastSlackPolicy({
+      inProgressFirst: this.#core.isEnabled(Mechanism.InProgressFirst),
+    })
   }
 
   #defaultAdmission(): JobAdmission {
-    if (!this.#core.uses(Mechanism.Admission)) return new OpenAdmission()
+    if (!this.#core.isEnabled(Mechanism.Admission)) return new UnconditionalAdmission()
     return new ForecastAdmission()
   }
 
@@ -97,18 +99,18 @@
   }
 
   /** Whether an endpoint has announced itself and has not expired. */
-  knows(endpoint: string): boolean {
+  hasEndpoint(endpoint: string): boolean {
     return this.#core.endpoints.get(endpoint) !== undefined
   }
 
   /** Whether a notice changes what is known of an endpoint, besides that it is still alive. */
-  isNews(notice: EndpointNotice): boolean {
-    return this.#core.endpoints.get(notice.endpoint)?.isNews(notice) ?? true
+  changesEndpoint(notice: EndpointNotice): boolean {
+    return this.#core.endpoints.get(notice.endpoint)?.differsFrom(notice) ?? true
   }
 
   /** Whether this instance starts no more tasks at an endpoint after handling its leave notice. */
-  heeds(notice: EndpointNotice): boolean {
-    return this.#core.endpoints.heeds(notice)
+  honorsLeaving(notice: EndpointNotice): boolean {
+    return this.#core.endpoints.honorsLeaving(notice)
   }
 
   get leads(): boolean {
@@ -121,12 +123,12 @@
   }
 
   /** Report on endpoints that were lost while tasks ran there, for another instance. */
-  losses(now: number): LossNews {
+  losses(now: number): LossUpdate {
     return this.#core.losses.all(now)
   }
 
   /** Number of changes to what is known of lost endpoints so far. */
-  get lossChanges(): number {
+  get lossRevision(): number {
     return this.#core.losses.changes
   }
 
@@ -153,8 +155,8 @@
     return this.#placeAndTakeActions(now)
   }
 
-  override noteStep(_now: number, behindMs: number): void {
-    this.#intake.noteStep(behindMs)
+  override recordStep(_now: number, behindMs: number): void {
+    this.#intake.recordStep(behindMs)
   }
 
   /** An instance that isn't leader only has to remove expired endpoints. */
@@ -163,26 +165,26 @@
   }
 
   #placeAndTakeActions(now: number): readonly DispatchAction[] {
-    this.#lifecycle.lookForUnlisted(now)
+    this.#lifecycle.findUnlistedTasks(now)
     this.#scheduler.run(now)
     return this.#core.takeActions()
   }
 
   #handle(now: number, event: DispatchEvent): void {
     switch (event.kind) {
-      case DispatchEventKind.Lead:
+      case DispatchEventKind.BecomeLeader:
         this.#becomeLeader(now, event)
         return
       case DispatchEventKind.StepDown:
         this.#stepDown(now)
         return
-      case DispatchEventKind.DirectoryRead:
+      case DispatchEventKind.DirectoryComplete:
         if (event.term === this.#core.term) this.#core.hasDirectory = true
         return
-      case DispatchEventKind.EarlierLeaders:
+      case DispatchEventKind.EarlierLeadersConfirmed:
         this.#noteEarlierLeaders(event)
         return
-      case DispatchEventKind.Confirmed:
+      case DispatchEventKind.LeadershipConfirmed:
         this.#core.confirmedAt = event.at
         this.#requests.onConfirmed(event.at)
         return
@@ -192,23 +194,23 @@
       case DispatchEventKind.Notice:
         this.#onNotice(now, event.notice)
         return
-      case DispatchEventKind.Loss:
-        this.#lifecycle.crashes.onTold(now, event.news)
+      case DispatchEventKind.EndpointLosses:
+        this.#lifecycle.crashes.onUpdate(now, event.losses)
         return
-      case DispatchEventKind.Submit:
+      case DispatchEventKind.SubmitJob:
         this.#requests.submit(now, event.from, event.req)
         this.#scheduler.wake()
         return
-      case DispatchEventKind.Ask:
+      case DispatchEventKind.QueryJob:
         this.#requests.ask(now, event.from, event.req)
         return
-      case DispatchEventKind.Abandon:
+      case DispatchEventKind.AbandonJob:
         this.#requests.abandon(now, event.from, event.req)
         return
-      case DispatchEventKind.Unanswered:
-        this.#lifecycle.unlisted.onUnanswered(now, event.req.jobs)
+      case DispatchEventKind.UnansweredJobs:
+        this.#lifecycle.unlisted.onUnansweredJobs(now, event.req.jobs)
         return
-      case DispatchEventKind.Answered:
+      case DispatchEventKind.OrderAnswered:
         this.#answers.handle(now, event)
         return
       default:
@@ -216,7 +218,7 @@
     }
   }
 
-  #becomeLeader(now: number, { term, table }: EventOf<DispatchEventKind.Lead>): void {
+  #becomeLeader(now: number, { term, table }: EventOf<DispatchEventKind.BecomeLeader>): void {
     const core = this.#core
     if (core.term !== undefined) this.#stepDown(now)
     core.term = term
@@ -233,12 +235,12 @@
     this.#leases.tick(now)
   }
 
-  #noteEarlierLeaders(event: EventOf<DispatchEventKind.EarlierLeaders>): void {
+  #noteEarlierLeaders(event: EventOf<DispatchEventKind.EarlierLeadersConfirmed>): void {
     const core = this.#core
     if (event.term !== core.term) return
     core.earlierLeadersConfirmedUntil = Math.min(
       core.earlierLeadersConfirmedUntil,
-      event.followedUntil,
+      event.confirmedUntil,
     )
     this.#scheduler.wake()
   }
@@ -255,7 +257,7 @@
   }
 
   #onNotice(now: number, notice: EndpointNotice): void {
-    for (const endpoint of this.#core.endpoints.namedBy(notice)) {
+    for (const endpoint of this.#core.endpoints.endpointIdsOf(notice)) {
       const isNamed = endpoint === notice.endpoint
       this.#applyNotice(now, isNamed ? notice : { ...notice, endpoint })
     }
@@ -264,7 +266,7 @@
   #applyNotice(now: number, notice: EndpointNotice): void {
     const known = this.#core.endpoints.get(notice.endpoint)
     const before = known?.notice.state
-    const endpoint = this.#core.endpoints.take(now, notice)
+    const endpoint = this.#core.endpoints.applyNotice(now, notice)
     if (endpoint === undefined) {
       if (known !== undefined) this.#logIgnoredLeave(known, notice)
       return
@@ -281,12 +283,13 @@
     }
     // The endpoint had stopped answering and has sent a notice again: retry without delay.
     if (endpoint.unanswered > 0) endpoint.nextHoldAt = Math.min(endpoint.nextHoldAt, now)
-    this.#leases.ask(now, endpoint)
+    this.#leases.openHold(now, endpoint)
   }
 
   #onNewIncarnation(now: number, endpoint: EndpointRecord): void {
     this.#broadcast(now, endpoint)
-    for (const earlier of this.#core.endpoints.otherLives(endpoint)) this.#leases.look(now, earlier)
+    for (const earlier of this.#core.endpoints.otherIncarnations(endpoint))
+      this.#leases.pollNow(now, earlier)
   }
 
   /** Logs an ignored leave notice, since an endpoint that leaves must not get any more tasks. */
@@ -306,16 +309,16 @@
    * Broadcasts an endpoint to all instances that may become leader, before any task starts there.
    */
   #broadcast(now: number, endpoint: EndpointRecord): void {
-    endpoint.spreadAt = now
-    this.#core.emit({ kind: DispatchActionKind.Spread, notice: endpoint.noticeAt(now) })
+    endpoint.broadcastAt = now
+    this.#core.emit({ kind: DispatchActionKind.BroadcastNotice, notice: endpoint.noticeAt(now) })
   }
 
   #removeExpiredEndpoints(now: number): void {
     this.#expiryCheckDueAt = now + EXPIRY_CHECK_INTERVAL_MS
     const { endpoints } = this.#core
     for (const endpoint of [...endpoints.all()]) {
-      if (!endpoints.isForgettable(now, endpoint)) continue
-      if (this.leads) this.#lifecycle.unlisted.onForgotten(now, endpoint)
+      if (!endpoints.isRemovable(now, endpoint)) continue
+      if (this.leads) this.#lifecycle.unlisted.onEndpointRemoved(now, endpoint)
       endpoints.remove(endpoint)
     }
     this.#scheduler.refresh(now)
--- a/packages/dispatch/src/lib/DispatchOptions.ts
+++ b/packages/dispatch/src/lib/DispatchOptions.ts
@@ -1,6 +1,6 @@
 import type { Mechanism } from '@cherryhitch/model'
 import type { JobAdmission } from './scheduling/JobAdmission'
-import type { JobOrder } from './scheduling/JobOrder'
+import type { QueuePolicy } from './scheduling/QueuePolicy'
 
 /** Timeouts and intervals of the dispatcher, in milliseconds. @public */
 export interface DispatchTiming {
@@ -12,7 +12,7 @@
   /** Longest lease that endpoints grant to any leader. */
   readonly maxGrantMs: number
   /** Validity of a start order; an endpoint refuses one that arrives later. */
-  readonly startOrderMs: number
+  readonly startOrderValidityMs: number
   /**
    * How long a hold (a long poll that renews the lease) waits at the endpoint for the end of a run.
    * Three fit into a lease, so that one can be lost.
@@ -28,7 +28,7 @@
    * Interval at which holds of endpoints without runs are renewed in one batch: each frame to an
    * instance that forwards orders costs more than the orders in it.
    */
-  readonly idleGatherMs: number
+  readonly idleBatchIntervalMs: number
   /** Time allowed for the answer to a hold in addition to its wait: some 10 round trips. */
   readonly answerSlackMs: number
   /**
@@ -36,11 +36,11 @@
    * measured round trips: twice the longest transit between availability zones with a busy instance
    * at either end.
    */
-  readonly leastAnswerMs: number
+  readonly minAnswerTimeoutMs: number
   /** Upper bound of the same timeout: some 20 round trips. */
-  readonly startTimeoutMs: number
+  readonly maxAnswerTimeoutMs: number
   /** Delay before the next hold after one without an answer. */
-  readonly retryHoldMs: number
+  readonly holdRetryDelayMs: number
   /**
    * Orders expire at most this long after a majority last confirmed this leader. A new leader waits
    * for this time before it restarts tasks that may still run at an endpoint it can't reach.
@@ -52,40 +52,40 @@
    */
   readonly clockDrift: number
   /** Time after which discovered runs are stopped if their job is not submitted again. */
-  readonly orphanWaitMs: number
+  readonly orphanTimeoutMs: number
   /** Time after which endpoints without a notice and without an answer are removed. */
-  readonly forgetEndpointMs: number
+  readonly endpointExpiryMs: number
   /** Retention of the verdict of an ended job, for repeated submissions and queries. */
-  readonly keepVerdictMs: number
+  readonly verdictRetentionMs: number
   /** Pause before an endpoint that refused a task for lack of capacity gets another one. */
-  readonly roomPauseMs: number
+  readonly capacityBackoffMs: number
 }
 
 /** @public */
 export const defaultDispatchTiming: DispatchTiming = {
   leaseMs: 900,
   maxGrantMs: 1_000,
-  startOrderMs: 300,
+  startOrderValidityMs: 300,
   holdWaitMs: 250,
   idleHoldWaitMs: 500,
-  idleGatherMs: 30,
+  idleBatchIntervalMs: 30,
   answerSlackMs: 120,
-  leastAnswerMs: 25,
-  startTimeoutMs: 80,
-  retryHoldMs: 40,
+  minAnswerTimeoutMs: 25,
+  maxAnswerTimeoutMs: 80,
+  holdRetryDelayMs: 40,
   leaderLeaseMs: 1_100,
   clockDrift: 0.025,
-  orphanWaitMs: 1_000,
-  forgetEndpointMs: 8_000,
-  keepVerdictMs: 60_000,
-  roomPauseMs: 30,
+  orphanTimeoutMs: 1_000,
+  endpointExpiryMs: 8_000,
+  verdictRetentionMs: 60_000,
+  capacityBackoffMs: 30,
 }
 
 /** @public */
 export interface DispatchOptions {
   readonly timing?: Partial<DispatchTiming>
   /** Decides which waiting job gets the next free slot; least slack first by default. */
-  readonly order?: JobOrder
+  readonly order?: QueuePolicy
   /** Decides which new jobs are admitted; by a forecast of free slots by default. */
   readonly admission?: JobAdmission
   /** Mechanisms to disable, to measure what each contributes. */
--- a/packages/dispatch/src/lib/crashes/CrashWatch.ts
+++ b/packages/dispatch/src/lib/crashes/CrashDetector.ts
@@ -1,4 +1,4 @@
-import { TaskStanding } from '@cherryhitch/policy'
+import { CrashSuspicion } from '@cherryhitch/policy'
 import { LostEndpointSchema, NoticeState, PossibleLossSchema } from '@cherryhitch/protocol'
 import type { EndpointGroup, LostEndpoint, PossibleLoss } from '@cherryhitch/protocol'
 import { create } from '@bufbuild/protobuf'
@@ -9,11 +9,11 @@
 import type { Job, Task } from '../jobs/Job'
 import { jobIdOf } from '../jobs/jobIdOf'
 import { groupsOf } from './groupsOf'
-import type { LossNews } from './LossNews'
+import type { LossUpdate } from './LossUpdate'
 
 /** Assessment of a job with a task that may crash endpoints. @internal */
 export interface JobAssessment {
-  readonly standing: TaskStanding.Culprit | TaskStanding.Held
+  readonly standing: CrashSuspicion.Culprit | CrashSuspicion.Held
   readonly task: Task
 }
 
@@ -24,7 +24,7 @@
  *
  * @internal
  */
-export class CrashWatch {
+export class CrashDetector {
   constructor(
     private readonly core: DispatchCore,
     /** Called for each job with a task whose standing may have changed. */
@@ -53,7 +53,7 @@
   handOver(now: number): void {
     const all = [...this.core.endpoints.all()]
     const lost = all.flatMap((endpoint) => {
-      const { notice, runs, unanswered, isAdopted, isReplaced } = endpoint
+      const { notice, runs, unanswered, isSynced: isAdopted, isReplaced } = endpoint
       const isSilent = unanswered > 0 || isReplaced
       const isRelevant = runs.size > 0 || (isSilent && isAdopted)
       if (!isRelevant || notice.state !== NoticeState.SERVING) return []
@@ -64,7 +64,7 @@
   }
 
   /** Applies an update from another instance. */
-  onTold(now: number, { lost, possible }: LossNews): void {
+  onUpdate(now: number, { lost, possible }: LossUpdate): void {
     for (const loss of lost) this.#apply(now, loss, () => undefined)
     for (const loss of possible) this.#applyPossible(now, loss)
   }
@@ -129,14 +129,14 @@
    * Marks the suspects among a job's tasks; returns the task that is a culprit, or one that has to
    * wait until more is known.
    */
-  judge(job: Job): JobAssessment | undefined {
+  assess(job: Job): JobAssessment | undefined {
     let held: JobAssessment | undefined
     for (const task of job.tasks) {
       if (task.state === TaskState.Done) continue
       const standing = this.core.losses.standing(task.name)
-      task.isSuspect = standing !== TaskStanding.Clear
-      if (standing === TaskStanding.Culprit) return { standing, task }
-      if (standing === TaskStanding.Held && task.run === undefined) held = { standing, task }
+      task.isSuspect = standing !== CrashSuspicion.Clear
+      if (standing === CrashSuspicion.Culprit) return { standing, task }
+      if (standing === CrashSuspicion.Held && task.run === undefined) held = { standing, task }
     }
     return held
   }
@@ -162,8 +162,8 @@
     })
   }
 
-  #broadcast(news: LossNews): void {
-    this.core.emit({ kind: DispatchActionKind.SpreadLoss, news })
+  #broadcast(news: LossUpdate): void {
+    this.core.emit({ kind: DispatchActionKind.BroadcastLosses, losses: news })
   }
 
   #applyPossible(now: number, possible: PossibleLoss): void {
--- a/packages/dispatch/src/lib/crashes/LossLedger.ts
+++ b/packages/dispatch/src/lib/crashes/LossLedger.ts
@@ -1,10 +1,10 @@
-import type { CrashBlame, LossUnderTask } from '@cherryhitch/policy'
-import { TaskStanding } from '@cherryhitch/policy'
+import type { CrashAttribution, EndpointLoss } from '@cherryhitch/policy'
+import { CrashSuspicion } from '@cherryhitch/policy'
 import { LostEndpointSchema } from '@cherryhitch/protocol'
 import type { EndpointGroup, LostEndpoint } from '@cherryhitch/protocol'
 import { create } from '@bufbuild/protobuf'
 import { isShared } from './groupsOf'
-import type { LossNews } from './LossNews'
+import type { LossUpdate } from './LossUpdate'
 import { PossibleLosses } from './PossibleLosses'
 
 /** Maximum number of losses kept. */
@@ -31,7 +31,7 @@
   readonly possible: PossibleLosses
 
   constructor(
-    private readonly blame: CrashBlame,
+    private readonly blame: CrashAttribution,
     private readonly retentionMs: number,
   ) {
     this.possible = new PossibleLosses(retentionMs)
@@ -93,14 +93,14 @@
   }
 
   /** Judges a task by the endpoints that were lost while it ran there. */
-  standing(task: string): TaskStanding {
+  standing(task: string): CrashSuspicion {
     const known = this.#byTask.get(task) ?? []
     const possible = this.possible.forTask(task)
-    if (known.length + possible.length === 0) return TaskStanding.Clear
-    const seen = known.map(({ isCrash, groups, unconfirmed }): LossUnderTask => {
+    if (known.length + possible.length === 0) return CrashSuspicion.Clear
+    const seen = known.map(({ isCrash, groups, unconfirmed }): EndpointLoss => {
       return { isCrash, isShared: isShared(groups), isPossible: unconfirmed.includes(task) }
     })
-    return this.blame.standing([...seen, ...possible])
+    return this.blame.suspicionOf([...seen, ...possible])
   }
 
   /** Endpoints that were lost while a task ran there. */
@@ -109,7 +109,7 @@
   }
 
   /** Everything known, to be sent to another instance. */
-  all(now: number): LossNews {
+  all(now: number): LossUpdate {
     const lost = [...this.#losses.values()].map((loss) => toMessage(now, loss))
     return { lost, possible: this.possible.all(now) }
   }
--- a/packages/dispatch/src/lib/crashes/LossWindow.ts
+++ b/packages/dispatch/src/lib/crashes/LossWindow.ts
@@ -19,7 +19,7 @@
  * @internal
  */
 export function lossWindow(endpoint: EndpointRecord): LossWindow | undefined {
-  const { isAdopted, isReplaced, unanswered, answeredAt, silentSince } = endpoint
+  const { isSynced: isAdopted, isReplaced, unanswered, answeredAt, silentSince } = endpoint
   if (!isAdopted || (unanswered === 0 && !isReplaced)) return undefined
   return { after: answeredAt, until: silentSince }
 }
--- a/packages/dispatch/src/lib/crashes/PossibleLosses.ts
+++ b/packages/dispatch/src/lib/crashes/PossibleLosses.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import { PossibleLossSchema } from '@cherryhitch/protocol'
 import type { PossibleLoss } from '@cherryhitch/protocol'
-import type { LossUnderTask } from '@cherryhitch/policy'
+import type { EndpointLoss } from '@cherryhitch/policy'
 import { jobIdOf } from '../jobs/jobIdOf'
 
 /** The possible losses that a leader found when its term began. */
@@ -15,7 +15,7 @@
   readonly lostAt: number
 }
 
-const UNKNOWN_LOSS: LossUnderTask = { isCrash: false, isShared: false, isPossible: true }
+const UNKNOWN_LOSS: EndpointLoss = { isCrash: false, isShared: false, isPossible: true }
 
 /**
  * Keeps what may have run at endpoints that were missing when a new leader polled them, by its
@@ -76,8 +76,8 @@
    * Returns the possible losses for a task: one for each term that lists it, and at least as many
    * as the times its job ended without an answer, since some of those terms may not be known here.
    */
-  forTask(task: string): LossUnderTask[] {
-    const losses: LossUnderTask[] = []
+  forTask(task: string): EndpointLoss[] {
+    const losses: EndpointLoss[] = []
     if (this.#byTerm.size === 0) return losses
     const job = jobIdOf(task)
     let mostTimes = 0
--- a/packages/dispatch/src/lib/crashes/UnlistedTasks.ts
+++ b/packages/dispatch/src/lib/crashes/UnlistedTaskDetector.ts
@@ -5,8 +5,8 @@
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import { TaskState } from '../jobs/Job'
 import type { Job } from '../jobs/Job'
-import { isSettled } from '../scheduling/isSettled'
-import type { CrashWatch } from './CrashWatch'
+import { areAllRunsKnown } from '../scheduling/areAllRunsKnown'
+import type { CrashDetector } from './CrashDetector'
 import { groupsAmong, isShared } from './groupsOf'
 
 /** Endpoints that an earlier leader may have used, and that have not answered this one. */
@@ -26,7 +26,7 @@
  *
  * @internal
  */
-export class UnlistedTasks {
+export class UnlistedTaskDetector {
   /** Undefined until all endpoints have reported their runs, or were found to be missing. */
   #missing: MissingEndpoints | undefined
   /** Jobs of earlier leaders discovered before `#missing` is set; some may have ended since. */
@@ -36,7 +36,7 @@
 
   constructor(
     private readonly core: DispatchCore,
-    private readonly crashes: CrashWatch,
+    private readonly crashes: CrashDetector,
   ) {}
 
   /** Whether the missing endpoints are known; tasks of earlier leaders are restarted only then. */
@@ -51,12 +51,12 @@
   }
 
   /** An endpoint is being removed from the registry. */
-  onForgotten(now: number, endpoint: EndpointRecord): void {
+  onEndpointRemoved(now: number, endpoint: EndpointRecord): void {
     if (this.#missing === undefined && endpoint.isReplaced) this.#removed.set(endpoint, now)
   }
 
   /** Determines the missing endpoints once a term, as soon as all have had the time to answer. */
-  look(now: number, jobs: Iterable<Job>): void {
+  check(now: number, jobs: Iterable<Job>): void {
     if (this.#missing !== undefined || !this.#haveAllBeenAsked(now)) return
     this.#missing = this.#findMissing(now)
     if (this.#missing.ids.length === 0) {
@@ -90,14 +90,14 @@
    * An entry instance gave up these jobs, which it had submitted to an earlier leader; their
    * callers may resubmit them.
    */
-  onUnanswered(now: number, jobs: readonly UnansweredJob[]): void {
+  onUnansweredJobs(now: number, jobs: readonly UnansweredJob[]): void {
     if (this.#missing !== undefined) this.#recordPossibleLoss(now, [], jobs)
     else for (const job of jobs) this.#earlier.set(job.jobId, job)
   }
 
   #haveAllBeenAsked(now: number): boolean {
-    if (!isSettled(now, this.core)) return false
-    for (const { isAdopted, isReplaced, unanswered } of this.core.endpoints.all()) {
+    if (!areAllRunsKnown(now, this.core)) return false
+    for (const { isSynced: isAdopted, isReplaced, unanswered } of this.core.endpoints.all()) {
       if (!isAdopted && !isReplaced && unanswered === 0) return false
     }
     return true
@@ -116,14 +116,14 @@
 
   /** Includes endpoints removed in an earlier term that ended before its check. */
   #takeRemoved(now: number): EndpointRecord[] {
-    const { forgetEndpointMs } = this.core.timing
+    const { endpointExpiryMs: forgetEndpointMs } = this.core.timing
     const lately = [...this.#removed].filter(([, at]) => now - at < forgetEndpointMs)
     this.#removed.clear()
     return lately.map(([endpoint]) => endpoint)
   }
 
   /** Excludes endpoints whose loss an earlier leader has already recorded. */
-  #isMissing({ id, notice, isAdopted }: EndpointRecord): boolean {
+  #isMissing({ id, notice, isSynced: isAdopted }: EndpointRecord): boolean {
     if (isAdopted || notice.state !== NoticeState.SERVING) return false
     const { losses } = this.core
     return losses.has(id) ? losses.wasResponsive(id) : !losses.possible.hasEndpoint(id)
--- a/packages/dispatch/src/lib/discovery/DiscoveryAction.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryAction.ts
@@ -8,7 +8,7 @@
   VoterHostSeen = 'voter_host_seen',
   LeaderChanged = 'leader_changed',
   /** The leader was lost, and the next can't be found: no majority of the voter hosts answers. */
-  NoLeaderInReach = 'no_leader_in_reach',
+  QuorumUnreachable = 'no_leader_in_reach',
 }
 
 /** @public */
@@ -22,4 +22,4 @@
       readonly leader: string
       readonly term: number
     }
-  | { readonly kind: DiscoveryActionKind.NoLeaderInReach }
+  | { readonly kind: DiscoveryActionKind.QuorumUnreachable }
--- a/packages/dispatch/src/lib/discovery/DiscoveryEvent.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryEvent.ts
@@ -5,15 +5,15 @@
   /** Another instance announced itself. */
   Announced = 'announced',
   /** A voter host sent its instance directory. */
-  Told = 'told',
+  DirectoryReceived = 'told',
   /** State of the local voter: the voter hosts in the replicated log, and the current leader. */
   Voters = 'voters',
   /** This process is about to stop. */
   Leaving = 'leaving',
   /** A message was received that only the leader of a term sends. */
-  Heard = 'heard',
+  LeaderMessageReceived = 'heard',
   /** This instance sent such a message as the leader. */
-  Answered = 'answered',
+  LeaderMessageSent = 'answered',
 }
 
 /** @public */
@@ -24,7 +24,7 @@
       readonly announcement: AnnounceInstance
     }
   | {
-      readonly kind: DiscoveryEventKind.Told
+      readonly kind: DiscoveryEventKind.DirectoryReceived
       readonly from: string
       readonly directory: InstanceDirectory
     }
@@ -36,8 +36,8 @@
     }
   | { readonly kind: DiscoveryEventKind.Leaving }
   | {
-      readonly kind: DiscoveryEventKind.Heard
+      readonly kind: DiscoveryEventKind.LeaderMessageReceived
       readonly from: string
       readonly term: number
     }
-  | { readonly kind: DiscoveryEventKind.Answered; readonly to: string }
+  | { readonly kind: DiscoveryEventKind.LeaderMessageSent; readonly to: string }
--- a/packages/dispatch/src/lib/discovery/DiscoveryMachine.test.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryMachine.test.ts
@@ -22,7 +22,7 @@
   voterHosts: string[] = [],
 ): DiscoveryEvent => {
   const directory = create(InstanceDirectorySchema, { voterHosts, leader, term })
-  return { kind: DiscoveryEventKind.Told, from, directory }
+  return { kind: DiscoveryEventKind.DirectoryReceived, from, directory }
 }
 
 const announced = (from: string, hostsVoter: boolean, ageMs: number): DiscoveryEvent => {
@@ -61,7 +61,7 @@
       return entry
     }
     const searchEnd = (entry: DiscoveryMachine): DiscoveryAction[] => {
-      return ofKind(entry.tick(lostAt + leaderSearchMs), DiscoveryActionKind.NoLeaderInReach)
+      return ofKind(entry.tick(lostAt + leaderSearchMs), DiscoveryActionKind.QuorumUnreachable)
     }
 
     it('reports that no majority of the voter hosts answers', () => {
@@ -177,7 +177,7 @@
 describe('instances that follow a leader', () => {
   const { leaderTimeoutMs } = defaultDiscoveryTiming
   const leaderMessage = (term: number): DiscoveryEvent => {
-    return { kind: DiscoveryEventKind.Heard, from: 'a', term }
+    return { kind: DiscoveryEventKind.LeaderMessageReceived, from: 'a', term }
   }
   const makeFollower = (): DiscoveryMachine => {
     const entry = makeEntry()
@@ -224,7 +224,7 @@
     const leader = makeLeader()
     for (let now = 100; now < 1_000; now += 100) {
       assert.deepEqual(directoryTimes(leader, now - 90, now), [])
-      leader.step(now, { kind: DiscoveryEventKind.Answered, to: 'entry' })
+      leader.step(now, { kind: DiscoveryEventKind.LeaderMessageSent, to: 'entry' })
     }
     assert.equal(directoryTimes(leader, 910, 1_200).length, 2)
   })
@@ -260,7 +260,7 @@
     return new DiscoveryMachine({ ...options, startedAt: 0 })
   }
   const namesOf = (host: DiscoveryMachine, now: number): string[] => {
-    return host.helpers(now).map(({ instance }) => instance)
+    return host.proxyCandidates(now).map(({ instance }) => instance)
   }
 
   it('are voter hosts that announce themselves and answer', () => {
@@ -270,7 +270,7 @@
     host.step(0, announced('entry', false, 0))
     host.step(0, directoryFrom('b', '', 0))
     host.step(0, directoryFrom('entry', '', 0))
-    assert.deepEqual(host.helpers(10), [{ instance: 'b', zone: 'z' }])
+    assert.deepEqual(host.proxyCandidates(10), [{ instance: 'b', zone: 'z' }])
   })
 
   it('are dropped once they stop announcing themselves or answering', () => {
--- a/packages/dispatch/src/lib/discovery/DiscoveryMachine.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryMachine.ts
@@ -1,6 +1,6 @@
 import { envelope } from '@cherryhitch/protocol'
 import type { AnnounceInstance, Envelope, InstanceDirectory } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
+import { StateMachine } from '@cherryhitch/runtime'
 import type { ProxyInstance } from '../orders/ProxyAssignments'
 import { DiscoveryActionKind } from './DiscoveryAction'
 import type { DiscoveryAction } from './DiscoveryAction'
@@ -35,7 +35,7 @@
  *
  * @public
  */
-export class DiscoveryMachine extends Machine<DiscoveryEvent, DiscoveryAction> {
+export class DiscoveryMachine extends StateMachine<DiscoveryEvent, DiscoveryAction> {
   readonly #options: DiscoveryOptions
   readonly #timing: DiscoveryTiming
   readonly #known: KnownInstances
@@ -78,7 +78,7 @@
   }
 
   /** Other voter hosts with a working link in both directions that are not about to stop. */
-  helpers(now: number): ProxyInstance[] {
+  proxyCandidates(now: number): ProxyInstance[] {
     return this.#known.proxyCandidates(now, this.#timing.proxyCandidateTimeoutMs)
   }
 
@@ -87,20 +87,20 @@
       case DiscoveryEventKind.Announced:
         this.#onAnnounced(now, event.from, event.announcement)
         break
-      case DiscoveryEventKind.Told:
+      case DiscoveryEventKind.DirectoryReceived:
         this.#onDirectory(now, event.from, event.directory)
         break
       case DiscoveryEventKind.Voters:
         this.#onVoters(now, event)
         break
-      case DiscoveryEventKind.Heard:
+      case DiscoveryEventKind.LeaderMessageReceived:
         this.#onLeaderMessage(now, event.from, event.term)
         break
       case DiscoveryEventKind.Leaving:
         this.#isLeaving = true
         this.#announce(now)
         break
-      case DiscoveryEventKind.Answered:
+      case DiscoveryEventKind.LeaderMessageSent:
         if (this.#leads) this.#leadershipSentAt.set(event.to, now)
         break
     }
@@ -255,7 +255,7 @@
     this.#searchDueAt = Infinity
     const answered = this.#known.answeredSince(this.#leaderLostAt).length
     if (this.#options.hostsVoter || 2 * answered > this.voterHosts.length) return
-    this.#actions.push({ kind: DiscoveryActionKind.NoLeaderInReach })
+    this.#actions.push({ kind: DiscoveryActionKind.QuorumUnreachable })
   }
 
   #expire(now: number): void {
--- a/packages/dispatch/src/lib/discovery/idleGroup.test.ts
+++ b/packages/dispatch/src/lib/discovery/idleGroup.test.ts
@@ -13,7 +13,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { Agenda } from '@cherryhitch/runtime'
+import { EventScheduler } from '@cherryhitch/runtime'
 import { DiscoveryActionKind } from './DiscoveryAction'
 import type { DiscoveryAction } from './DiscoveryAction'
 import { DiscoveryEventKind } from './DiscoveryEvent'
@@ -30,7 +30,7 @@
 /** A group of instances without any jobs, with a count of the messages that each has sent. */
 class IdleGroup {
   readonly sent = new Map<string, number>()
-  private readonly agenda = new Agenda({ startMs: 0 })
+  private readonly agenda = new EventScheduler({ startMs: 0 })
   private readonly machines = new Map<string, DiscoveryMachine>()
   private leader = 'h0'
 
@@ -94,7 +94,11 @@
         if (body.case === 'announceInstance') {
           this.deliver(to, { kind: DiscoveryEventKind.Announced, from, announcement: body.value })
         } else if (body.case === 'instanceDirectory') {
-          this.deliver(to, { kind: DiscoveryEventKind.Told, from, directory: body.value })
+          this.deliver(to, {
+            kind: DiscoveryEventKind.DirectoryReceived,
+            from,
+            directory: body.value,
+          })
         }
       })
     }
--- a/packages/dispatch/src/lib/endpoints/EndpointRecord.test.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointRecord.test.ts
@@ -66,9 +66,9 @@
       stopReason: 'its caller is gone',
     } as Run
     record.addRun(run)
-    assert.equal(record.freeRoom().cpuMillis, 0)
+    assert.equal(record.freeCapacity().cpuMillis, 0)
     record.removeRun(run)
-    assert.equal(record.freeRoom().cpuMillis, 1_000)
+    assert.equal(record.freeCapacity().cpuMillis, 1_000)
   })
 
   for (const [what, more] of [
--- a/packages/dispatch/src/lib/endpoints/EndpointRecord.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointRecord.ts
@@ -25,7 +25,7 @@
 }
 
 /** Unused part of a capacity. @internal */
-export interface FreeRoom {
+export interface FreeCapacity {
   cpuMillis: number
   memoryMb: number
   gpus: number
@@ -64,7 +64,7 @@
   hold: PendingPoll | undefined
   nextHoldAt = 0
   /** Pending poll, which it answers immediately. */
-  look: PendingPoll | undefined
+  poll: PendingPoll | undefined
   #unanswered = 0
   /** Endpoint time of its newest report. */
   reportedClockMs = -Infinity
@@ -74,7 +74,7 @@
    * Number of this incarnation in the leader's fencing tokens; the machine refuses orders with a
    * lower one.
    */
-  lifeNumber = 0
+  incarnationNumber = 0
   /**
    * When another incarnation of its machine was discovered; cleared when this one answers a hold or
    * poll sent after that.
@@ -94,7 +94,7 @@
   /** True once two notices agreed on its service, address and zone. */
   #isIdentityConfirmed = false
   /** Cached until the next change: placement reads it far more often. */
-  #freeCapacity: FreeRoom | undefined
+  #freeCapacity: FreeCapacity | undefined
   #slowness = { value: 1, readAt: -Infinity }
 
   constructor(notice: EndpointNotice, now: number, options: EndpointRecordOptions) {
@@ -114,21 +114,21 @@
   }
 
   /** When it was last broadcast to all instances that may become leader. */
-  get spreadAt(): number {
+  get broadcastAt(): number {
     return this.#broadcastAt
   }
 
-  set spreadAt(at: number) {
+  set broadcastAt(at: number) {
     this.#broadcastAt = at
     this.noteChange()
   }
 
   /** True once a report of it was read under the current fencing token. */
-  get isAdopted(): boolean {
+  get isSynced(): boolean {
     return this.#isSynced
   }
 
-  set isAdopted(isAdopted: boolean) {
+  set isSynced(isAdopted: boolean) {
     if (this.#isSynced === isAdopted) return
     this.#isSynced = isAdopted
     this.noteChange()
@@ -194,7 +194,7 @@
   }
 
   /** True once it was replaced, and nothing that was ordered there still runs or can start. */
-  isOver(now: number): boolean {
+  isQuiescent(now: number): boolean {
     return this.#isReplaced && now >= this.#ordersExpireAt
   }
 
@@ -215,7 +215,7 @@
   }
 
   /** Whether a task runs there that is suspected of having crashed an endpoint. */
-  get hasSuspect(): boolean {
+  get hasSuspectTask(): boolean {
     for (const { task } of this.#runs.values()) if (task?.isSuspect === true) return true
     return false
   }
@@ -281,7 +281,7 @@
   }
 
   /** Whether a notice differs from the latest one in state, identity, labels or capacity. */
-  isNews(notice: EndpointNotice): boolean {
+  differsFrom(notice: EndpointNotice): boolean {
     const known = this.#notice
     if (notice.state !== known.state || !this.#hasSameIdentity(notice)) return true
     if (notice.labels.join(' ') !== known.labels.join(' ')) return true
@@ -300,16 +300,16 @@
   /** Whether new tasks may be started there. */
   mayStart(now: number): boolean {
     if (this.#notice.state !== NoticeState.SERVING || this.isReplaced) return false
-    const isReachable = this.isAdopted && this.unanswered === 0 && !this.isPossiblyReplaced
+    const isReachable = this.isSynced && this.unanswered === 0 && !this.isPossiblyReplaced
     return isReachable && now >= this.pausedUntil
   }
 
-  freeRoom(): Readonly<FreeRoom> {
+  freeCapacity(): Readonly<FreeCapacity> {
     this.#freeCapacity ??= this.#computeFreeCapacity()
     return this.#freeCapacity
   }
 
-  #computeFreeCapacity(): FreeRoom {
+  #computeFreeCapacity(): FreeCapacity {
     const { cpuMillis = 0, memoryMb = 0, gpus = 0 } = this.#notice.capacity ?? {}
     const free = { cpuMillis, memoryMb, gpus }
     for (const { needs } of this.#runs.values()) {
@@ -328,7 +328,7 @@
     this.syncedAt = Infinity
     this.hold = undefined
     this.nextHoldAt = 0
-    this.look = undefined
+    this.poll = undefined
     this.#unanswered = 0
     this.reportedClockMs = -Infinity
     this.acknowledgedEnd = 0
--- a/packages/dispatch/src/lib/endpoints/EndpointBook.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointRegistry.ts
@@ -16,7 +16,7 @@
  *
  * @internal
  */
-export class EndpointBook {
+export class EndpointRegistry {
   readonly #records = new Map<string, EndpointRecord>()
   readonly #machines = new Map<string, Machine>()
   /** Number of incarnations discovered in the current leader's term. */
@@ -43,13 +43,13 @@
   }
 
   /** The other incarnations of an endpoint's machine that have not been removed. */
-  otherLives(record: EndpointRecord): EndpointRecord[] {
+  otherIncarnations(record: EndpointRecord): EndpointRecord[] {
     const incarnations = this.#machines.get(record.machine)?.incarnations ?? []
     return [...incarnations].filter((other) => other !== record)
   }
 
   /** Applies a notice; returns the record if the notice was accepted. */
-  take(now: number, notice: EndpointNotice): EndpointRecord | undefined {
+  applyNotice(now: number, notice: EndpointNotice): EndpointRecord | undefined {
     const known = this.#records.get(notice.endpoint)
     if (known !== undefined) return known.applyNotice(now, notice) ? known : undefined
     if (notice.state === NoticeState.GONE || this.#lacksIncarnation(notice)) return undefined
@@ -59,7 +59,7 @@
   /**
    * Whether no more tasks are started at an endpoint once its LEAVING or GONE notice is applied.
    */
-  heeds(notice: EndpointNotice): boolean {
+  honorsLeaving(notice: EndpointNotice): boolean {
     const known = this.#records.get(notice.endpoint)
     if (known !== undefined) return known.honorsLeaving(notice)
     return notice.state === NoticeState.GONE || !this.#lacksIncarnation(notice)
@@ -70,7 +70,7 @@
    * then refers to the incarnations that announced LEAVING, because a later incarnation may have
    * started before the notice arrives.
    */
-  namedBy(notice: EndpointNotice): string[] {
+  endpointIdsOf(notice: EndpointNotice): string[] {
     const { endpoint, state } = notice
     const machine = this.#machines.get(machineOf(notice))
     const isNamed = state !== NoticeState.GONE || this.#records.has(endpoint)
@@ -85,7 +85,7 @@
   beginTerm(): void {
     this.#incarnationCount = 0
     for (const machine of this.#machines.values()) machine.incarnationNumber = 0
-    for (const record of this.#records.values()) record.lifeNumber = 0
+    for (const record of this.#records.values()) record.incarnationNumber = 0
   }
 
   /**
@@ -93,7 +93,8 @@
    * a higher number.
    */
   raiseIncarnationNumber(record: EndpointRecord): void {
-    record.lifeNumber = this.#machines.get(record.machine)?.incarnationNumber ?? record.lifeNumber
+    record.incarnationNumber =
+      this.#machines.get(record.machine)?.incarnationNumber ?? record.incarnationNumber
   }
 
   /** Whether a notice names no incarnation although its machine is known to name them. */
@@ -111,7 +112,7 @@
   }
 
   #add(now: number, notice: EndpointNotice): EndpointRecord {
-    const { clockDrift: drift, leastAnswerMs: minMs, startTimeoutMs: maxMs } = this.timing
+    const { clockDrift: drift, minAnswerTimeoutMs: minMs, maxAnswerTimeoutMs: maxMs } = this.timing
     const roundTrip = { minMs, maxMs }
     const onChange = (changed: EndpointRecord): void => {
       this.#changed.add(changed)
@@ -122,7 +123,7 @@
     this.health.add(record.id, record.service)
     const machine = this.#machineOf(record)
     for (const other of machine.incarnations) other.markPossiblyReplaced(now)
-    record.lifeNumber = machine.incarnationNumber = ++this.#incarnationCount
+    record.incarnationNumber = machine.incarnationNumber = ++this.#incarnationCount
     machine.incarnations.add(record)
     return record
   }
@@ -152,10 +153,10 @@
    * Whether an endpoint without runs can be removed: it was replaced and its orders have expired,
    * or it has been silent for `forgetEndpointMs`, or it announced GONE and no longer answers.
    */
-  isForgettable(now: number, record: EndpointRecord): boolean {
+  isRemovable(now: number, record: EndpointRecord): boolean {
     if (record.runs.size > 0) return false
-    if (record.isReplaced) return record.isOver(now)
-    const { forgetEndpointMs } = this.timing
+    if (record.isReplaced) return record.isQuiescent(now)
+    const { endpointExpiryMs: forgetEndpointMs } = this.timing
     const silent = now - Math.max(record.answeredAt, record.noticedAt) > forgetEndpointMs
     return silent || (record.notice.state === NoticeState.GONE && record.unanswered > 0)
   }
--- a/packages/dispatch/src/lib/endpoints/LeaseLoop.ts
+++ b/packages/dispatch/src/lib/endpoints/LeaseLoop.ts
@@ -18,15 +18,15 @@
 
   /** Opens a hold at every endpoint that has none pending. */
   tick(now: number): void {
-    for (const endpoint of this.core.endpoints.all()) this.ask(now, endpoint)
+    for (const endpoint of this.core.endpoints.all()) this.openHold(now, endpoint)
   }
 
   /** Opens a hold at an endpoint, unless one is pending or the next one is not due yet. */
-  ask(now: number, endpoint: EndpointRecord): void {
+  openHold(now: number, endpoint: EndpointRecord): void {
     if (endpoint.hold !== undefined || now < endpoint.nextHoldAt) return
     const { timing } = this.core
     // The first hold is answered immediately: it shows what runs there, and the endpoint's clock.
-    const isKnown = endpoint.isAdopted && endpoint.unanswered === 0 && endpoint.clock.isKnown
+    const isKnown = endpoint.isSynced && endpoint.unanswered === 0 && endpoint.clock.isKnown
     const knownWaitMs = endpoint.runs.size === 0 ? timing.idleHoldWaitMs : timing.holdWaitMs
     const waitMs = isKnown ? knownWaitMs : 0
     this.core.counters.holds++
@@ -38,10 +38,10 @@
    * have been lost, which is detected only after 370 ms; the shortest jobs have a shorter latency
    * objective than that.
    */
-  look(now: number, endpoint: EndpointRecord): void {
-    if (endpoint.look !== undefined || !endpoint.isAdopted) return
+  pollNow(now: number, endpoint: EndpointRecord): void {
+    if (endpoint.poll !== undefined || !endpoint.isSynced) return
     this.core.counters.looks++
-    endpoint.look = this.#sendHold(now, endpoint, 0, endpoint.roundTrip.timeoutMs)
+    endpoint.poll = this.#sendHold(now, endpoint, 0, endpoint.roundTrip.timeoutMs)
   }
 
   #sendHold(
@@ -61,7 +61,7 @@
     const isSure = endpoint.unanswered === 0 && !endpoint.isPossiblyReplaced
     const acknowledgedEnd = isSure ? endpoint.acknowledgedEnd : 0
     const value = makeHoldOrder(leaseEndsAt, acknowledgedEnd, waitMs)
-    const id = this.core.order(now, endpoint, { timeoutMs, order: { case: 'hold', value } })
+    const id = this.core.sendOrder(now, endpoint, { timeoutMs, order: { case: 'hold', value } })
     return { id, sentAt: now }
   }
 
@@ -76,15 +76,15 @@
   /** Like `leaseEnd`, for an order that is valid for at most the given time. */
   orderEnd(now: number, { clock }: EndpointRecord, validMs: number): number | undefined {
     if (!clock.isKnown) return undefined
-    const end = Math.min(clock.at(now) + validMs, clock.at(this.core.ordersEndAt))
+    const end = Math.min(clock.at(now) + validMs, clock.at(this.core.ordersExpireAt))
     return end <= clock.at(now) ? undefined : Math.floor(end)
   }
 
   /** An endpoint answered a hold or a poll, which shows that it is reachable. */
   noteAnswer(now: number, endpoint: EndpointRecord, orderId: number, clockMs: number): void {
-    if (endpoint.look?.id === orderId) {
-      endpoint.roundTrip.note(now - endpoint.look.sentAt)
-      endpoint.look = undefined
+    if (endpoint.poll?.id === orderId) {
+      endpoint.roundTrip.addSample(now - endpoint.poll.sentAt)
+      endpoint.poll = undefined
     } else if (endpoint.hold?.id === orderId) {
       endpoint.hold = undefined
     }
@@ -98,25 +98,25 @@
    * Opens the next hold after an endpoint's report was processed: at once if tasks run there,
    * otherwise together with other idle endpoints.
    */
-  askAgain(now: number, endpoint: EndpointRecord): void {
+  reopenHold(now: number, endpoint: EndpointRecord): void {
     if (endpoint.runs.size === 0) {
-      const { idleGatherMs } = this.core.timing
+      const { idleBatchIntervalMs: idleGatherMs } = this.core.timing
       endpoint.nextHoldAt = Math.ceil(now / idleGatherMs) * idleGatherMs
     }
-    this.ask(now, endpoint)
+    this.openHold(now, endpoint)
   }
 
   /**
    * Discards a hold that was opened before a poll, when the poll reported an end that the hold
    * should have reported: its answer was lost.
    */
-  noteNewsBy(poll: PendingPoll, endpoint: EndpointRecord): void {
+  discardMissedHold(poll: PendingPoll, endpoint: EndpointRecord): void {
     const { hold } = endpoint
     if (hold !== undefined && hold.sentAt < poll.sentAt) endpoint.hold = undefined
   }
 
   noteFailure(now: number, endpoint: EndpointRecord, orderId: number, fault: HoldFault): void {
-    if (endpoint.look?.id === orderId) endpoint.look = undefined
+    if (endpoint.poll?.id === orderId) endpoint.poll = undefined
     else if (endpoint.hold?.id === orderId) endpoint.hold = undefined
     // A later hold or poll has been answered in the meantime.
     else return
@@ -127,7 +127,7 @@
     if (failure === HoldFailure.FENCED) endpoint.silentSince = -Infinity
     const slow = endpoint.unanswered > QUICK_RETRIES ? SLOW_RETRY_FACTOR : 1
     if (endpoint.hold === undefined) {
-      endpoint.nextHoldAt = now + this.core.timing.retryHoldMs * slow
+      endpoint.nextHoldAt = now + this.core.timing.holdRetryDelayMs * slow
     }
     this.#noteReplacement(now, endpoint, failure)
     if (endpoint.unanswered > 1 && failure === HoldFailure.NO_ANSWER) return
@@ -149,7 +149,7 @@
     if (failure === HoldFailure.REPLACED) endpoint.replace()
     // The restarted process has the same id: recent orders may have taken effect there, and its
     // reports will show them.
-    if (failure === HoldFailure.RESTARTED) endpoint.replace(now + timing.forgetEndpointMs)
+    if (failure === HoldFailure.RESTARTED) endpoint.replace(now + timing.endpointExpiryMs)
     if (failure === HoldFailure.FENCED) endpoints.raiseIncarnationNumber(endpoint)
   }
 
@@ -157,7 +157,7 @@
   noteUnanswered(now: number, endpoint: EndpointRecord): void {
     if (endpoint.unanswered === 0) endpoint.silentSince = now
     endpoint.unanswered++
-    this.core.silenceAt = now
+    this.core.lastLostOrderAt = now
   }
 
   /**
@@ -168,7 +168,7 @@
    */
   hasLapsed(now: number, endpoint: EndpointRecord): boolean {
     const { confirmedAt } = this.core
-    if (endpoint.isReplaced) return endpoint.isOver(now)
+    if (endpoint.isReplaced) return endpoint.isQuiescent(now)
     return endpoint.clock.isPast(confirmedAt, endpoint.leaseEndsAt)
   }
 }
--- a/packages/dispatch/src/lib/endpoints/RoundTripEstimator.ts
+++ b/packages/dispatch/src/lib/endpoints/RoundTripEstimator.ts
@@ -17,7 +17,7 @@
 
   constructor(private readonly bounds: TimeoutBounds) {}
 
-  note(ms: number): void {
+  addSample(ms: number): void {
     if (this.#meanMs === undefined) {
       this.#meanMs = ms
       this.#deviationMs = ms / 2
--- a/packages/dispatch/src/lib/endpoints/idleEndpoints.test.ts
+++ b/packages/dispatch/src/lib/endpoints/idleEndpoints.test.ts
@@ -32,7 +32,7 @@
       })
       this.take(0, this.machine.step(0, { kind: DispatchEventKind.Notice, notice }))
     }
-    const lead = { kind: DispatchEventKind.Lead, term: 1, table: undefined } as const
+    const lead = { kind: DispatchEventKind.BecomeLeader, term: 1, table: undefined } as const
     this.take(0, this.machine.step(0, lead))
   }
 
@@ -41,11 +41,11 @@
       for (const { send } of this.due.filter(({ at }) => at === now)) {
         const value = makeHoldReport(now, [], [])
         const { order, sentAt } = send
-        const event = { kind: DispatchEventKind.Answered, order, sentAt } as const
+        const event = { kind: DispatchEventKind.OrderAnswered, order, sentAt } as const
         this.take(now, this.machine.step(now, { ...event, answer: { case: 'report', value } }))
       }
       if (now % TICK_MS !== 0) continue
-      this.machine.step(now, { kind: DispatchEventKind.Confirmed, at: now })
+      this.machine.step(now, { kind: DispatchEventKind.LeadershipConfirmed, at: now })
       this.take(now, this.machine.tick(now))
     }
   }
--- a/packages/dispatch/src/lib/jobs/IntakeLimit.ts
+++ b/packages/dispatch/src/lib/jobs/IntakeLimit.ts
@@ -55,7 +55,7 @@
    *
    * @param delayMs - time since the first message of the step was received, in milliseconds
    */
-  noteStep(delayMs: number): void {
+  recordStep(delayMs: number): void {
     this.#meanDelayMs +=
       (Math.min(delayMs, DELAY_SAMPLE_CAP_MS) - this.#meanDelayMs) * SMOOTHING_FACTOR
     this.#meanAdmitted += (this.#admitted - this.#meanAdmitted) * SMOOTHING_FACTOR
--- a/packages/dispatch/src/lib/jobs/Job.ts
+++ b/packages/dispatch/src/lib/jobs/Job.ts
@@ -26,9 +26,9 @@
   /** Highest run number used so far. */
   lastRun: number
   /** Endpoints on which a run of this task failed or was lost. */
-  readonly avoid: Set<string>
+  readonly avoidedEndpoints: Set<string>
   /** Endpoints on which a run of this task was stopped because it took too long. */
-  readonly overrunAt: Set<string>
+  readonly overrunEndpoints: Set<string>
   /** An endpoint was lost while running this task, and the task may have crashed it. */
   isSuspect: boolean
   run: Run | undefined
@@ -95,7 +95,7 @@
   firstStartAt: number | undefined
   lastStartAt: number | undefined
   /** Abnormal events in its runs, for the log. */
-  readonly mishaps: RunAnomalies = { unansweredStarts: 0, lostRuns: 0, overruns: 0 }
+  readonly anomalies: RunAnomalies = { unansweredStarts: 0, lostRuns: 0, overruns: 0 }
   /** Admission control has passed the job; until then it may be refused. */
   isAdmitted: boolean
   /** The verdict was given: no task is started any more, and the job is removed once none runs. */
@@ -152,7 +152,7 @@
   }
 
   /** True if a task is placed or done. */
-  get isUnderWay(): boolean {
+  get isInProgress(): boolean {
     return this.#placed > 0 || this.#unfinished < this.tasks.length
   }
 
@@ -161,7 +161,7 @@
   }
 
   /** Changes the state of a task and updates the counts of the job. */
-  move(task: Task, state: TaskState): void {
+  setTaskState(task: Task, state: TaskState): void {
     const before = task.state
     if (before === state) return
     ;(task as MutableTask).state = state
@@ -222,7 +222,7 @@
     for (const task of this.tasks) {
       if (task.state !== TaskState.Blocked) continue
       if (this.step(task).dependsOn.every((step) => this.#isStepDone(step))) {
-        this.move(task, TaskState.Waiting)
+        this.setTaskState(task, TaskState.Waiting)
       }
     }
   }
@@ -243,8 +243,8 @@
       state: step.dependsOn.length === 0 ? TaskState.Waiting : TaskState.Blocked,
       failures: 0,
       lastRun,
-      avoid: new Set<string>(),
-      overrunAt: new Set<string>(),
+      avoidedEndpoints: new Set<string>(),
+      overrunEndpoints: new Set<string>(),
       isSuspect: false,
       run: undefined,
     }))
--- a/packages/dispatch/src/lib/jobs/JobLifecycle.ts
+++ b/packages/dispatch/src/lib/jobs/JobLifecycle.ts
@@ -1,21 +1,21 @@
-import { TaskStanding } from '@cherryhitch/policy'
+import { CrashSuspicion } from '@cherryhitch/policy'
 import { JobVerdict } from '@cherryhitch/protocol'
 import type { DispatchCore } from '../DispatchCore'
 import { Mechanism } from '@cherryhitch/model'
-import { CrashWatch } from '../crashes/CrashWatch'
-import { UnlistedTasks } from '../crashes/UnlistedTasks'
+import { CrashDetector } from '../crashes/CrashDetector'
+import { UnlistedTaskDetector } from '../crashes/UnlistedTaskDetector'
 import type { LeaseLoop } from '../endpoints/LeaseLoop'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
-import { OverrunWatch } from '../runs/OverrunWatch'
+import { OverrunDetector } from '../runs/OverrunDetector'
 import { RunEnd } from '../runs/Run'
 import type { Run } from '../runs/Run'
-import { RunHealth } from '../runs/RunHealth'
+import { RunOutcomeRecorder } from '../runs/RunOutcomeRecorder'
 import { RunTracker } from '../runs/RunTracker'
 import type { RunListener } from '../runs/RunTracker'
 import type { RefusedJob } from '../scheduling/JobAdmission'
-import { findHopeless } from '../scheduling/giveUp'
+import { findUnservableJobs } from '../scheduling/findUnservableJobs'
 import { retryAfter } from '../scheduling/retryAfter'
-import { JobBook } from './JobBook'
+import { JobRegistry } from './JobRegistry'
 import { jobIdOf } from './jobIdOf'
 import { TaskState } from './Job'
 import type { Job, Task } from './Job'
@@ -30,12 +30,12 @@
  * @internal
  */
 export class JobLifecycle implements RunListener {
-  readonly jobs: JobBook
+  readonly jobs: JobRegistry
   readonly runs: RunTracker
-  readonly health: RunHealth
-  readonly crashes: CrashWatch
-  readonly unlisted: UnlistedTasks
-  readonly overruns: OverrunWatch
+  readonly health: RunOutcomeRecorder
+  readonly crashes: CrashDetector
+  readonly unlisted: UnlistedTaskDetector
+  readonly overruns: OverrunDetector
   /**
    * When tasks of earlier leaders were reported as done before their job was submitted to this
    * leader, by task name, oldest first.
@@ -48,15 +48,15 @@
     /** Called when a slot may have become free or a task may wait again. */
     private readonly onChange: () => void,
   ) {
-    this.jobs = new JobBook(core)
+    this.jobs = new JobRegistry(core)
     this.runs = new RunTracker(core, leases, this)
-    this.health = new RunHealth(core)
-    this.crashes = new CrashWatch(core, (now, id) => {
+    this.health = new RunOutcomeRecorder(core)
+    this.crashes = new CrashDetector(core, (now, id) => {
       const job = this.jobs.get(id)
       if (job !== undefined) this.endIfCrashSuspect(now, job)
     })
-    this.unlisted = new UnlistedTasks(core, this.crashes)
-    this.overruns = new OverrunWatch(core, this.runs, this.health)
+    this.unlisted = new UnlistedTaskDetector(core, this.crashes)
+    this.overruns = new OverrunDetector(core, this.runs, this.health)
   }
 
   tick(now: number): void {
@@ -64,7 +64,7 @@
     this.jobs.tick(now)
     this.#endHopelessJobs(now)
     for (const [name, at] of this.#completedUnderEarlierLeaders) {
-      if (now - at < this.core.timing.keepVerdictMs) break
+      if (now - at < this.core.timing.verdictRetentionMs) break
       this.#completedUnderEarlierLeaders.delete(name)
     }
   }
@@ -91,7 +91,7 @@
    */
   endIfCrashSuspect(now: number, job: Job): void {
     if (job.isClosed) return
-    const judgement = this.crashes.judge(job)
+    const judgement = this.crashes.assess(job)
     if (judgement === undefined) return
     const { standing, task } = judgement
     const { counters, losses } = this.core
@@ -102,7 +102,7 @@
       standing,
       endpoints,
     })
-    if (standing === TaskStanding.Culprit) {
+    if (standing === CrashSuspicion.Culprit) {
       counters.jobs_blamed++
       this.end(now, job, JobVerdict.FAILED, `task ${task.name} takes its endpoint down`)
     } else {
@@ -145,8 +145,8 @@
    * Looks for tasks of earlier leaders that no endpoint lists: they may have run on an endpoint
    * that is gone.
    */
-  lookForUnlisted(now: number): void {
-    this.unlisted.look(now, this.jobs.open)
+  findUnlistedTasks(now: number): void {
+    this.unlisted.check(now, this.jobs.open)
   }
 
   /** Closes a job with a verdict and stops its runs. */
@@ -158,7 +158,7 @@
   }
 
   /** Refuses a job that would get its slots too late, so that its caller need not wait. */
-  refuseAtDoor(now: number, { job, lateByMs }: RefusedJob): void {
+  refuseByAdmission(now: number, { job, lateByMs }: RefusedJob): void {
     this.core.counters.refused_at_door++
     const reason = 'no place becomes free in time'
     this.end(now, job, JobVerdict.REFUSED, reason, retryAfter(job.id, lateByMs))
@@ -171,12 +171,13 @@
   /** Restores the state of a task that an earlier leader started or that is already done. */
   #restore(now: number, job: Job, task: Task): void {
     if (this.runs.adopt(now, task)) job.hasStarted = true
-    else if (this.#completedUnderEarlierLeaders.delete(task.name)) job.move(task, TaskState.Done)
+    else if (this.#completedUnderEarlierLeaders.delete(task.name))
+      job.setTaskState(task, TaskState.Done)
   }
 
   #onTaskDone(now: number, task: Task): void {
     const { job } = task
-    job.move(task, TaskState.Done)
+    job.setTaskState(task, TaskState.Done)
     if (job.isClosed) this.jobs.removeIfFinished(job)
     else if (job.isDone) this.jobs.close(now, job, JobVerdict.COMPLETED, { reason: 'all done' })
     else job.unblock()
@@ -184,11 +185,11 @@
 
   #onTaskNotDone(now: number, task: Task, endpoint: EndpointRecord, end: RunEnd): void {
     const { job } = task
-    job.move(task, TaskState.Waiting)
+    job.setTaskState(task, TaskState.Waiting)
     if (end === RunEnd.Failed) task.failures++
-    if (end === RunEnd.Lost) job.mishaps.lostRuns++
-    const avoids = this.core.uses(Mechanism.Avoidance)
-    if (end !== RunEnd.NotRun && avoids) task.avoid.add(endpoint.id)
+    if (end === RunEnd.Lost) job.anomalies.lostRuns++
+    const avoids = this.core.isEnabled(Mechanism.Avoidance)
+    if (end !== RunEnd.NotRun && avoids) task.avoidedEndpoints.add(endpoint.id)
     if (job.isClosed) {
       this.jobs.removeIfFinished(job)
       return
@@ -201,9 +202,9 @@
   }
 
   #endHopelessJobs(now: number): void {
-    for (const { job, verdict, reason, retryAfterMs } of findHopeless(now, this.jobs.open)) {
+    for (const { job, verdict, reason, retryAfterMs } of findUnservableJobs(now, this.jobs.open)) {
       this.end(now, job, verdict, reason, retryAfterMs)
     }
-    if (this.core.uses(Mechanism.Overrun)) this.overruns.tick(now, this.jobs.open)
+    if (this.core.isEnabled(Mechanism.Overrun)) this.overruns.tick(now, this.jobs.open)
   }
 }
--- a/packages/dispatch/src/lib/jobs/JobBook.ts
+++ b/packages/dispatch/src/lib/jobs/JobRegistry.ts
@@ -20,7 +20,7 @@
 const MAX_RETAINED_VERDICTS = 20_000
 
 /** The open jobs of this leader, and the verdicts of recently ended ones. @internal */
-export class JobBook {
+export class JobRegistry {
   readonly #jobs = new Map<string, Job>()
   /** Jobs without a verdict. */
   readonly #open = new Set<Job>()
@@ -81,7 +81,7 @@
       return known
     }
     const stepMs = spec.steps.map(({ estimateMs }) => this.#estimate(route, estimateMs))
-    const keepsMargin = this.core.uses(Mechanism.StartMargin)
+    const keepsMargin = this.core.isEnabled(Mechanism.StartMargin)
     const job = new Job({
       id: spec.jobId,
       route,
@@ -187,7 +187,7 @@
   }
 
   tick(now: number): void {
-    const { keepVerdictMs } = this.core.timing
+    const { verdictRetentionMs: keepVerdictMs } = this.core.timing
     for (const [id, { endedAt }] of this.#ended) {
       if (now - endedAt < keepVerdictMs && this.#ended.size <= MAX_RETAINED_VERDICTS) return
       this.#ended.delete(id)
@@ -214,7 +214,7 @@
   #logEnd(now: number, job: Job, verdict: JobVerdict, reason: string): void {
     const { route, arrivedAt, firstStartAt, lastStartAt, objectiveAt, criticalPathMs, tasks } = job
     const ms = Math.round(now - arrivedAt)
-    this.core.emit({ kind: DispatchActionKind.Measure, stage: Stage.Whole, route: route.name, ms })
+    this.core.emit({ kind: DispatchActionKind.Measure, stage: Stage.Total, route: route.name, ms })
     this.core.log('a job ended', {
       job: job.id,
       route: route.name,
@@ -229,7 +229,7 @@
       tasks: tasks.length,
       unfinished: tasks.filter(({ state }) => state !== TaskState.Done).length,
       failures: tasks.reduce((sum: number, task: Task) => sum + task.failures, 0),
-      ...job.mishaps,
+      ...job.anomalies,
       ...(job.isResumed && { isResumed: true }),
       endpoints: [...job.endpointsUsed],
       term: this.core.term,
--- a/packages/dispatch/src/lib/jobs/RequestHandler.ts
+++ b/packages/dispatch/src/lib/jobs/RequestHandler.ts
@@ -110,7 +110,7 @@
    * earlier leader had may have run, so it is never refused here.
    */
   #refuseIfOverloaded(waiter: JobWaiter, { spec, earlierAttempts }: SubmitJob): boolean {
-    if (!this.core.uses(Mechanism.IntakeLimit)) return false
+    if (!this.core.isEnabled(Mechanism.IntakeLimit)) return false
     const jobId = spec?.jobId ?? ''
     if (earlierAttempts > 0 || this.lifecycle.jobs.get(jobId) !== undefined) return false
     if (this.lifecycle.jobs.endedJob(jobId) !== undefined || this.intake.admit()) return false
--- a/packages/dispatch/src/lib/jobs/busyLeader.test.ts
+++ b/packages/dispatch/src/lib/jobs/busyLeader.test.ts
@@ -83,7 +83,7 @@
     const limit = new IntakeLimit()
     for (let step = 0; step < 20; step++) {
       admitMany(limit, 4)
-      limit.noteStep(step === 10 ? 5_000 : 3)
+      limit.recordStep(step === 10 ? 5_000 : 3)
       assert.equal(limit.isBinding, false)
     }
   })
@@ -92,10 +92,10 @@
     const limit = new IntakeLimit()
     for (let step = 0; step < 60; step++) {
       admitMany(limit, 20)
-      limit.noteStep(80)
+      limit.recordStep(80)
     }
     assert.ok(admitMany(limit, 20) < 5)
-    for (let step = 0; step < 300; step++) limit.noteStep(3)
+    for (let step = 0; step < 300; step++) limit.recordStep(3)
     assert.equal(limit.isBinding, false)
     assert.equal(admitMany(limit, 20), 20)
   })
--- a/packages/dispatch/src/lib/orders/AnswerHandler.ts
+++ b/packages/dispatch/src/lib/orders/AnswerHandler.ts
@@ -38,7 +38,7 @@
         this.leases.noteFailure(now, endpoint, order.id, answer.value)
         return
       case 'started':
-        if (answer.value !== StartResult.UNKNOWN) endpoint.roundTrip.note(now - sentAt)
+        if (answer.value !== StartResult.UNKNOWN) endpoint.roundTrip.addSample(now - sentAt)
         this.#onStarted(now, findRun(endpoint, order), answer.value)
         return
       case 'stopped': {
@@ -49,14 +49,14 @@
   }
 
   #onReport(now: number, endpoint: EndpointRecord, { order, sentAt, report }: HoldAnswer): void {
-    const { isAdopted: wasAdopted, acknowledgedEnd, look } = endpoint
+    const { isSynced: wasAdopted, acknowledgedEnd, poll: look } = endpoint
     this.leases.noteAnswer(now, endpoint, order.id, report.clockMs)
     endpoint.noteAlive(sentAt)
     this.lifecycle.runs.onReport(now, endpoint, sentAt, report)
     const hasNewEnd = endpoint.acknowledgedEnd > acknowledgedEnd
-    if (hasNewEnd && look?.id === order.id) this.leases.noteNewsBy(look, endpoint)
+    if (hasNewEnd && look?.id === order.id) this.leases.discardMissedHold(look, endpoint)
     if (!wasAdopted) this.onAdopted()
-    this.leases.askAgain(now, endpoint)
+    this.leases.reopenHold(now, endpoint)
   }
 
   #onStarted(now: number, run: Run | undefined, result: StartResult): void {
--- a/packages/dispatch/src/lib/orders/OrderProxy.ts
+++ b/packages/dispatch/src/lib/orders/OrderProxy.ts
@@ -1,6 +1,6 @@
 import { makeEndpointAnswer, StartResult, wrapMessage } from '@cherryhitch/protocol'
 import type { EndpointAnswer, EndpointOrder, EndpointOrders, Envelope } from '@cherryhitch/protocol'
-import { GatherPace } from '@cherryhitch/runtime'
+import { BatchPacer } from '@cherryhitch/runtime'
 import type { EndpointGateway, OrderAnswer } from '../gateway/EndpointGateway'
 import { noAnswer } from '../gateway/noAnswer'
 import { ExtraDelay } from './ExtraDelay'
@@ -35,7 +35,7 @@
   /** Boot of the process that gave the orders. */
   readonly boot: number
   readonly delay: ExtraDelay
-  readonly pace: GatherPace
+  readonly pace: BatchPacer
   answers: EndpointAnswer[]
 }
 
@@ -71,10 +71,10 @@
   #enqueueAnswer(to: string, state: LeaderState, answer: EndpointAnswer): void {
     const { now, after } = this.options
     state.answers.push(answer)
-    const waitMs = state.pace.note(now())
+    const waitMs = state.pace.requestSend(now())
     if (waitMs === undefined) return
     after(waitMs, () => {
-      state.pace.noteSent(now())
+      state.pace.recordSend(now())
       this.#send(to, state)
     })
   }
@@ -82,7 +82,7 @@
   #stateOf(to: string, boot: number): LeaderState {
     const known = this.#leaders.get(to)
     if (known?.boot === boot) return known
-    const pace = new GatherPace(BATCH_WINDOW_MS)
+    const pace = new BatchPacer(BATCH_WINDOW_MS)
     const state = { boot, delay: new ExtraDelay(), pace, answers: [] }
     this.#leaders.set(to, state)
     return state
--- a/packages/dispatch/src/lib/orders/OrderRouter.test.ts
+++ b/packages/dispatch/src/lib/orders/OrderRouter.test.ts
@@ -78,7 +78,7 @@
 /** Start results that are delivered to the dispatcher. */
 function startResults(actions: readonly RouterAction[]): readonly StartResult[] {
   return actions.flatMap((action) => {
-    if (action.kind !== RouterActionKind.Tell) return []
+    if (action.kind !== RouterActionKind.DeliverAnswer) return []
     const { answer } = action.event
     return answer.case === 'started' ? [answer.value] : []
   })
--- a/packages/dispatch/src/lib/orders/OrderRouter.ts
+++ b/packages/dispatch/src/lib/orders/OrderRouter.ts
@@ -1,6 +1,6 @@
 import { exhaustive } from '@cherryhitch/model'
 import type { EndpointAnswer, EndpointOrder } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
+import { StateMachine } from '@cherryhitch/runtime'
 import type { SendOrder } from '../DispatchAction'
 import type { OrderAnswered } from '../DispatchEvent'
 import { noAnswer } from '../gateway/noAnswer'
@@ -66,7 +66,7 @@
 export enum RouterActionKind {
   Call = 'call',
   Forward = 'forward',
-  Tell = 'tell',
+  DeliverAnswer = 'tell',
   Log = 'log',
 }
 
@@ -81,10 +81,10 @@
       readonly orders: readonly EndpointOrder[]
     }
   /** Pass the result of an order to the dispatcher. */
-  | { readonly kind: RouterActionKind.Tell; readonly event: OrderAnswered }
+  | { readonly kind: RouterActionKind.DeliverAnswer; readonly event: OrderAnswered }
   | {
       readonly kind: RouterActionKind.Log
-      readonly sentence: string
+      readonly message: string
       readonly fields: Readonly<Record<string, unknown>>
     }
 
@@ -110,7 +110,7 @@
  *
  * @public
  */
-export class OrderRouter extends Machine<RouterEvent, RouterAction> {
+export class OrderRouter extends StateMachine<RouterEvent, RouterAction> {
   readonly #options: RouterOptions
   readonly #assignments = new ProxyAssignments()
   readonly #pending = new Map<number, PendingOrder>()
@@ -198,7 +198,10 @@
     const pending = this.#pending.get(id)
     if (pending === undefined || answer.case === undefined) return
     this.#pending.delete(id)
-    this.#actions.push({ kind: RouterActionKind.Tell, event: answerEvent(pending.send, answer) })
+    this.#actions.push({
+      kind: RouterActionKind.DeliverAnswer,
+      event: answerEvent(pending.send, answer),
+    })
   }
 
   #checkPending(now: number): void {
@@ -225,7 +228,7 @@
     const fields = { proxy, heardAt: this.#lastAnswerAt.get(proxy), orders: lost.length + 1 }
     this.#actions.push({
       kind: RouterActionKind.Log,
-      sentence: 'proxy does not answer, so it is suspended',
+      message: 'proxy does not answer, so it is suspended',
       fields,
     })
   }
@@ -233,7 +236,7 @@
   #failOrder(id: number, send: SendOrder, detail: string): void {
     this.#pending.delete(id)
     const event = answerEvent(send, noAnswer(send.order, detail))
-    this.#actions.push({ kind: RouterActionKind.Tell, event })
+    this.#actions.push({ kind: RouterActionKind.DeliverAnswer, event })
   }
 
   #updateAssignments(now: number): void {
--- a/packages/dispatch/src/lib/relay/JobRelay.test.ts
+++ b/packages/dispatch/src/lib/relay/JobRelay.test.ts
@@ -57,7 +57,7 @@
     relay.step(0, leader('a', 1))
     relay.step(1, submit)
     relay.step(10, leader('', 1))
-    const unreachable = { kind: RelayEventKind.NoLeaderInReach } as const
+    const unreachable = { kind: RelayEventKind.QuorumUnreachable } as const
     assert.deepEqual(verdicts(relay.step(210, unreachable)), [JobVerdict.UNKNOWN])
     relay.step(211, { ...submit, requestId: '2' })
     assert.deepEqual(verdicts(relay.step(212, unreachable)), [JobVerdict.REFUSED])
@@ -93,7 +93,7 @@
     relay.step(1, submit)
     relay.step(10, leader('', 1))
     relay.step(200, leader('b', 2))
-    assert.deepEqual(verdicts(relay.step(210, { kind: RelayEventKind.NoLeaderInReach })), [])
+    assert.deepEqual(verdicts(relay.step(210, { kind: RelayEventKind.QuorumUnreachable })), [])
     assert.equal(relay.openRequests, 1)
   })
 
--- a/packages/dispatch/src/lib/relay/JobRelay.ts
+++ b/packages/dispatch/src/lib/relay/JobRelay.ts
@@ -6,7 +6,7 @@
   wrapMessage,
 } from '@cherryhitch/protocol'
 import type { Envelope, JobOutcome, JobQuestionKind, SteppedJob } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
+import { StateMachine } from '@cherryhitch/runtime'
 
 /** Times of a relay, in milliseconds. @public */
 export interface RelayTiming {
@@ -55,7 +55,7 @@
   Outcome = 'outcome',
   Leader = 'leader',
   /** The leader is lost, and the next one can't be found: no majority of voters is reachable. */
-  NoLeaderInReach = 'no_leader_in_reach',
+  QuorumUnreachable = 'no_leader_in_reach',
 }
 
 interface CallerRequest {
@@ -76,7 +76,7 @@
   | { readonly kind: RelayEventKind.Outcome; readonly from: string; readonly outcome: JobOutcome }
   /** `leader` is empty while no leader is known. */
   | { readonly kind: RelayEventKind.Leader; readonly leader: string; readonly term: number }
-  | { readonly kind: RelayEventKind.NoLeaderInReach }
+  | { readonly kind: RelayEventKind.QuorumUnreachable }
 
 /** @public */
 export enum RelayActionKind {
@@ -129,7 +129,7 @@
  *
  * @public
  */
-export class JobRelay extends Machine<RelayEvent, RelayAction> {
+export class JobRelay extends StateMachine<RelayEvent, RelayAction> {
   readonly #timing: RelayTiming
   readonly #open = new Map<string, OpenRequest>()
   /** Jobs that a leader had and whose outcome is unknown here, in the order of their end. */
@@ -169,7 +169,7 @@
       case RelayEventKind.Leader:
         this.#onLeader(now, event.leader, event.term)
         break
-      case RelayEventKind.NoLeaderInReach:
+      case RelayEventKind.QuorumUnreachable:
         this.#endAllLeaderless(now)
         break
     }
--- a/packages/dispatch/src/lib/runs/OverrunWatch.ts
+++ b/packages/dispatch/src/lib/runs/OverrunDetector.ts
@@ -2,9 +2,9 @@
 import { estimateSubject } from '../DispatchCore'
 import type { DispatchCore } from '../DispatchCore'
 import type { Job, Task } from '../jobs/Job'
-import { judgeOverrun, overrunAfter, OverrunVerdict } from '../scheduling/overrun'
+import { decideOverrun, overrunThresholdMs, OverrunDecision } from '../scheduling/overrun'
 import type { Run } from './Run'
-import type { RunHealth } from './RunHealth'
+import type { RunOutcomeRecorder } from './RunOutcomeRecorder'
 import type { RunTracker } from './RunTracker'
 
 /** A run that was confirmed by its endpoint, was not ordered to stop and belongs to a known job. */
@@ -19,11 +19,11 @@
  *
  * @internal
  */
-export class OverrunWatch {
+export class OverrunDetector {
   constructor(
     private readonly core: DispatchCore,
     private readonly runs: RunTracker,
-    private readonly health: RunHealth,
+    private readonly health: RunOutcomeRecorder,
   ) {}
 
   tick(now: number, jobs: Iterable<Job>): void {
@@ -45,11 +45,11 @@
       freshMs: ownMs,
       leftMs: job.deadlineAt - now,
     }
-    const verdict = judgeOverrun(evidence)
+    const verdict = decideOverrun(evidence)
     const { estimateMs } = job.step(task)
     this.core.estimator.observeAtLeast(now, estimateSubject(job.route, estimateMs), ownMs)
     job.raiseEstimate(task, ownMs)
-    job.mishaps.overruns++
+    job.anomalies.overruns++
     this.core.log('run takes far longer than estimated', {
       job: job.id,
       task: run.name,
@@ -60,13 +60,13 @@
       verdict,
       ...evidence,
     })
-    if (verdict === OverrunVerdict.Stop) this.#stop(now, run)
+    if (verdict === OverrunDecision.Stop) this.#stop(now, run)
     else this.#extend(run, ms)
   }
 
   #stop(now: number, run: ConfirmedRun): void {
     this.core.counters.overruns_stopped++
-    run.task.overrunAt.add(run.endpoint.id)
+    run.task.overrunEndpoints.add(run.endpoint.id)
     this.health.noteFailure(now, run, HealthFailure.Lost)
     this.runs.stop(now, run, 'it takes too long')
   }
@@ -82,10 +82,10 @@
    * same step overrun as well.
    */
   #otherEndpoints(now: number, job: Job, { task, endpoint, expectedMs }: ConfirmedRun): number {
-    const others = new Set(task.overrunAt)
+    const others = new Set(task.overrunEndpoints)
     for (const { step, run } of job.tasks) {
       const isAlike = step === task.step && isConfirmed(run)
-      if (isAlike && now - run.sentAt >= overrunAfter(expectedMs)) others.add(run.endpoint.id)
+      if (isAlike && now - run.sentAt >= overrunThresholdMs(expectedMs)) others.add(run.endpoint.id)
     }
     others.delete(endpoint.id)
     return others.size
@@ -97,5 +97,5 @@
 }
 
 function isOverrun(now: number, { sentAt, expectedMs }: Run): boolean {
-  return now - sentAt >= overrunAfter(expectedMs)
+  return now - sentAt >= overrunThresholdMs(expectedMs)
 }
--- a/packages/dispatch/src/lib/runs/RunOrders.ts
+++ b/packages/dispatch/src/lib/runs/RunOrders.ts
@@ -20,7 +20,7 @@
     const { payload } = job.spec
     const value = makeStartOrder({ task, run: number, payload, orderEndsAt })
     const { timeoutMs } = endpoint.roundTrip
-    this.core.order(now, endpoint, { timeoutMs, order: { case: 'start', value } })
+    this.core.sendOrder(now, endpoint, { timeoutMs, order: { case: 'start', value } })
   }
 
   /** Sends the order to stop a run, and schedules the next one in case its end is not reported. */
@@ -32,6 +32,6 @@
     const { endpoint, name, number } = run
     const value = makeStopOrder(name, number)
     const { timeoutMs } = endpoint.roundTrip
-    this.core.order(now, endpoint, { timeoutMs, order: { case: 'stop', value } })
+    this.core.sendOrder(now, endpoint, { timeoutMs, order: { case: 'stop', value } })
   }
 }
--- a/packages/dispatch/src/lib/runs/RunHealth.ts
+++ b/packages/dispatch/src/lib/runs/RunOutcomeRecorder.ts
@@ -12,7 +12,7 @@
  *
  * @internal
  */
-export class RunHealth {
+export class RunOutcomeRecorder {
   constructor(private readonly core: DispatchCore) {}
 
   noteEnd(now: number, run: Run, end: RunEnd): void {
--- a/packages/dispatch/src/lib/runs/RunTracker.ts
+++ b/packages/dispatch/src/lib/runs/RunTracker.ts
@@ -62,7 +62,7 @@
   /** Orders a task to start; returns false if no order can be sent now. */
   start(now: number, task: Task, endpoint: EndpointRecord, expectedMs: number): boolean {
     const { term, timing, counters } = this.core
-    const orderEndsAt = this.leases.orderEnd(now, endpoint, timing.startOrderMs)
+    const orderEndsAt = this.leases.orderEnd(now, endpoint, timing.startOrderValidityMs)
     if (term === undefined || orderEndsAt === undefined) return false
     const number = ++task.lastRun
     const { name, job } = task
@@ -84,7 +84,7 @@
       stopReason: '',
     }
     task.run = run
-    job.move(task, TaskState.Placed)
+    job.setTaskState(task, TaskState.Placed)
     endpoint.addRun(run)
     endpoint.leaseEndsAt = Math.max(endpoint.leaseEndsAt, orderEndsAt)
     counters.starts++
@@ -116,7 +116,7 @@
         return
       case StartResult.UNKNOWN:
         counters.starts_unanswered++
-        if (run.task !== undefined) run.task.job.mishaps.unansweredStarts++
+        if (run.task !== undefined) run.task.job.anomalies.unansweredStarts++
         this.leases.noteUnanswered(now, run.endpoint)
         this.#onStartUnanswered(now, run)
         return
@@ -139,13 +139,13 @@
   /** Processes an endpoint's report; `sentAt` is when the hold or poll for it was sent. */
   onReport(now: number, endpoint: EndpointRecord, sentAt: number, report: HoldReport): void {
     // Another incarnation replaced it before any report of it was read: this one is outdated.
-    if (endpoint.isReplaced && !endpoint.isAdopted) return
+    if (endpoint.isReplaced && !endpoint.isSynced) return
     // Answers may arrive out of order: an older report lists runs that have ended since.
     if (report.clockMs < endpoint.reportedClockMs) return
     const isNewer = report.clockMs > endpoint.reportedClockMs
     endpoint.reportedClockMs = report.clockMs
-    const isFirst = !endpoint.isAdopted
-    endpoint.isAdopted = true
+    const isFirst = !endpoint.isSynced
+    endpoint.isSynced = true
     if (isFirst) endpoint.syncedAt = now
     // An earlier leader may have renewed the lease until this report; from now on it can't.
     const grantedUntil = isFirst ? report.clockMs + this.core.timing.maxGrantMs : -Infinity
@@ -172,7 +172,7 @@
    * all of them, so its report shows their effects.
    */
   #retireEarlierIncarnations(now: number, endpoint: EndpointRecord): void {
-    for (const earlier of this.core.endpoints.otherLives(endpoint)) {
+    for (const earlier of this.core.endpoints.otherIncarnations(endpoint)) {
       if (!earlier.isReplaced) this.leases.noteUnanswered(now, earlier)
       earlier.replace()
       const { id, runs } = earlier
@@ -198,15 +198,15 @@
     run.needs = task.job.step(task).needs
     run.expectedMs = task.job.runMs(task) * this.core.slownessOf(now, run.endpoint)
     run.endpoint.noteChange()
-    run.pollDueAt = firstPollAt(now, run, this.core.silenceAt)
+    run.pollDueAt = firstPollAt(now, run, this.core.lastLostOrderAt)
     task.run = run
     task.lastRun = Math.max(task.lastRun, run.number)
-    task.job.move(task, TaskState.Placed)
+    task.job.setTaskState(task, TaskState.Placed)
     return true
   }
 
   tick(now: number): void {
-    const { orphanWaitMs } = this.core.timing
+    const { orphanTimeoutMs: orphanWaitMs } = this.core.timing
     for (const run of this.#orphans.values()) {
       if (now - run.sentAt < orphanWaitMs) continue
       this.stop(now, run, 'nobody submitted its job again')
@@ -226,9 +226,9 @@
     }
     for (const run of endpoint.runs.values()) {
       if (now >= run.stopDueAt) this.#orders.stop(now, run)
-      if (now < run.pollDueAt || !this.core.uses(Mechanism.Looks)) continue
+      if (now < run.pollDueAt || !this.core.isEnabled(Mechanism.OverduePolls)) continue
       run.pollDueAt = nextPollAt(now, run)
-      this.leases.look(now, endpoint)
+      this.leases.pollNow(now, endpoint)
     }
   }
 
@@ -239,7 +239,8 @@
   #onStartUnanswered(now: number, run: Run): void {
     if (run.state !== RunState.Starting) return
     const isValid = run.endpoint.clock.at(now) < run.orderEndsAt
-    const mayRepeat = this.core.uses(Mechanism.RepeatedStarts) && run.startOrders < MAX_START_ORDERS
+    const mayRepeat =
+      this.core.isEnabled(Mechanism.StartRetries) && run.startOrders < MAX_START_ORDERS
     if (run.task === undefined || !mayRepeat || !isValid) {
       this.stop(now, run, 'its start got no answer')
       return
@@ -264,7 +265,7 @@
     }
     if (run.state !== RunState.Starting) return
     run.state = RunState.Running
-    run.pollDueAt = firstPollAt(now, run, this.core.silenceAt)
+    run.pollDueAt = firstPollAt(now, run, this.core.lastLostOrderAt)
   }
 
   #onListedEnd(
@@ -311,11 +312,12 @@
   #noteRejection(now: number, run: Run, result: StartResult): void {
     const { endpoint, task, name, number } = run
     if (result === StartResult.REPLACED) endpoint.replace()
-    if (result === StartResult.NO_ROOM) endpoint.pausedUntil = now + this.core.timing.roomPauseMs
+    if (result === StartResult.NO_ROOM)
+      endpoint.pausedUntil = now + this.core.timing.capacityBackoffMs
     if (result === StartResult.UNHEALTHY || result === StartResult.NOT_SENT) {
-      endpoint.pausedUntil = now + this.core.timing.retryHoldMs
+      endpoint.pausedUntil = now + this.core.timing.holdRetryDelayMs
     }
-    if (result === StartResult.MALFORMED) task?.avoid.add(endpoint.id)
+    if (result === StartResult.MALFORMED) task?.avoidedEndpoints.add(endpoint.id)
     this.core.log('endpoint rejected the start of a run', {
       job: task?.job.id ?? '',
       task: name,
@@ -336,6 +338,6 @@
 }
 
 /** Whether a synced endpoint was replaced or left more than one call unanswered. */
-function isUnresponsive({ isAdopted, isReplaced, unanswered }: EndpointRecord): boolean {
+function isUnresponsive({ isSynced: isAdopted, isReplaced, unanswered }: EndpointRecord): boolean {
   return isAdopted && (isReplaced || unanswered > 1)
 }
