--- a/packages/dispatch/src/lib/scheduling/AvailableEndpoints.ts
+++ b/packages/dispatch/src/lib/scheduling/AvailableEndpoints.ts
@@ -1,6 +1,6 @@
 import { HealthState } from '@cherryhitch/policy'
 import type { EndpointCapacity } from '@cherryhitch/protocol'
-import type { EndpointRecord, FreeRoom } from '../endpoints/EndpointRecord'
+import type { EndpointRecord, FreeCapacity } from '../endpoints/EndpointRecord'
 import type { Task } from '../jobs/Job'
 
 /**
@@ -61,7 +61,7 @@
     if (known === undefined) this.#rowOf.set(endpoint, row)
     if (row >= this.#cpuMillis.length) this.#grow()
     this.#rows[row] = entry
-    const { cpuMillis, memoryMb, gpus } = endpoint.freeRoom()
+    const { cpuMillis, memoryMb, gpus } = endpoint.freeCapacity()
     this.#cpuMillis[row] = cpuMillis
     this.#memoryMb[row] = memoryMb
     this.#gpus[row] = gpus
@@ -91,7 +91,7 @@
   /**
    * Number of tasks with these needs that can start now; counting stops once `enough` is reached.
    */
-  countFreeSlots(needs: Readonly<FreeRoom>, enough: number): number {
+  countFreeSlots(needs: Readonly<FreeCapacity>, enough: number): number {
     let slots = 0
     for (let row = 0; row < this.#rows.length && slots < enough; row++) {
       if (this.#rows[row]?.health === HealthState.Healthy) slots += this.#countSlotsAt(row, needs)
@@ -159,7 +159,7 @@
     return (this.#memoryMb[row] ?? 0) >= memoryMb && (this.#gpus[row] ?? 0) >= gpus
   }
 
-  #countSlotsAt(row: number, needs: Readonly<FreeRoom>): number {
+  #countSlotsAt(row: number, needs: Readonly<FreeCapacity>): number {
     return countSlots(
       this.#cpuMillis[row] ?? 0,
       this.#memoryMb[row] ?? 0,
@@ -182,7 +182,7 @@
   cpuMillis: number,
   memoryMb: number,
   gpus: number,
-  needs: Readonly<FreeRoom>,
+  needs: Readonly<FreeCapacity>,
 ): number {
   let slots = MAX_SLOTS_PER_ENDPOINT
   if (needs.cpuMillis > 0) slots = Math.min(slots, Math.floor(cpuMillis / needs.cpuMillis))
@@ -193,7 +193,7 @@
 
 /** Whether a task's placement depends only on its resource needs and the endpoint's speed. */
 function isUnconstrained(task: Task): boolean {
-  if (task.avoid.size > 0 || task.failures > 0 || task.isSuspect) return false
+  if (task.avoidedEndpoints.size > 0 || task.failures > 0 || task.isSuspect) return false
   const { requiredLabel, maxPerEndpoint, dataRack } = task.job.step(task)
   return requiredLabel === '' && maxPerEndpoint === 0 && dataRack === ''
 }
@@ -215,7 +215,7 @@
 function penaltyOf(task: Task, { endpoint }: AvailableEndpoint): number {
   const { dataRack } = task.job.step(task)
   const isRemote = dataRack !== '' && !endpoint.notice.labels.includes(dataRack)
-  const avoidancePenalty = task.avoid.has(endpoint.id) ? REMOTE_PENALTY : 1
+  const avoidancePenalty = task.avoidedEndpoints.has(endpoint.id) ? REMOTE_PENALTY : 1
   // A task suspected of crashing endpoints goes where the fewest other runs would be lost with it.
   const colocationPenalty = task.isSuspect ? 1 + endpoint.runs.size : 1
   return (isRemote ? REMOTE_PENALTY : 1) * avoidancePenalty * colocationPenalty
--- a/packages/dispatch/src/lib/scheduling/ForecastAdmission.ts
+++ b/packages/dispatch/src/lib/scheduling/ForecastAdmission.ts
@@ -1,7 +1,7 @@
 import type { Job } from '../jobs/Job'
 import { JobAdmission } from './JobAdmission'
 import type { AdmissionDecision, AdmissionInput, RefusedJob } from './JobAdmission'
-import { AdmissionSimulation } from './ForecastReplay'
+import { AdmissionSimulation } from './AdmissionSimulation'
 import { SlotForecast } from './SlotForecast'
 
 /**
--- a/packages/dispatch/src/lib/scheduling/JobQueue.ts
+++ b/packages/dispatch/src/lib/scheduling/JobQueue.ts
@@ -1,4 +1,4 @@
-import type { FreeRoom } from '../endpoints/EndpointRecord'
+import type { FreeCapacity } from '../endpoints/EndpointRecord'
 import type { Job } from '../jobs/Job'
 
 /** Position of a job in a queue. @internal */
@@ -15,7 +15,7 @@
   readonly job: Job
   /** Number of waiting tasks, and the sum of their resource needs. */
   readonly tasks: number
-  readonly needs: Readonly<FreeRoom>
+  readonly needs: Readonly<FreeCapacity>
   /** Least CPU need of one of them, in thousandths of a core. */
   readonly minCpuMillis: number
 }
@@ -31,7 +31,7 @@
   readonly #queue: QueuedJob[] = []
   readonly #byJob = new Map<Job, QueuedJob>()
   readonly #undecided = new Set<Job>()
-  readonly #needs: FreeRoom = { cpuMillis: 0, memoryMb: 0, gpus: 0 }
+  readonly #needs: FreeCapacity = { cpuMillis: 0, memoryMb: 0, gpus: 0 }
   #waitingTasks = 0
   #ranked: readonly Job[] | undefined
   /** No rank expires before this time. */
@@ -56,7 +56,7 @@
   }
 
   /** Mean resource needs of a waiting task. */
-  get meanNeeds(): Readonly<FreeRoom> {
+  get meanNeeds(): Readonly<FreeCapacity> {
     const { cpuMillis, memoryMb, gpus } = this.#needs
     const count = Math.max(1, this.#waitingTasks)
     return { cpuMillis: cpuMillis / count, memoryMb: memoryMb / count, gpus: gpus / count }
@@ -143,7 +143,7 @@
 }
 
 /** Sum of the resource needs of a job's waiting tasks. */
-function totalNeedsOf(job: Job): FreeRoom {
+function totalNeedsOf(job: Job): FreeCapacity {
   const sum = { cpuMillis: 0, memoryMb: 0, gpus: 0 }
   for (const task of job.waiting) {
     const { needs } = job.step(task)
--- a/packages/dispatch/src/lib/scheduling/JobOrder.ts
+++ b/packages/dispatch/src/lib/scheduling/QueuePolicy.ts
@@ -2,7 +2,7 @@
 import { latestStart } from './latestStart'
 
 /** Queue discipline: decides which waiting job gets the next free slot. @public */
-export abstract class JobOrder {
+export abstract class QueuePolicy {
   /** The job with the smallest rank goes first. */
   abstract rank(now: number, job: Job): number
   /** The last instant at which the rank of an unchanged job is valid; Infinity by default. */
@@ -12,20 +12,20 @@
 }
 
 /** First come, first served, as a baseline. @public */
-export class ArrivalOrder extends JobOrder {
+export class FifoPolicy extends QueuePolicy {
   override rank(_now: number, job: Job): number {
     return job.arrivedAt
   }
 }
 
 /** @public */
-export interface SlackOrderOptions {
+export interface LeastSlackPolicyOptions {
   /** Whether jobs with tasks that run or are done go before all others. */
   readonly inProgressFirst: boolean
 }
 
 /** @public */
-export const defaultSlackOrderOptions: SlackOrderOptions = {
+export const defaultLeastSlackPolicyOptions: LeastSlackPolicyOptions = {
   inProgressFirst: true,
 }
 
@@ -41,18 +41,18 @@
  *
  * @public
  */
-export class SlackOrder extends JobOrder {
-  readonly #options: SlackOrderOptions
+export class LeastSlackPolicy extends QueuePolicy {
+  readonly #options: LeastSlackPolicyOptions
 
-  constructor(options: Partial<SlackOrderOptions> = {}) {
+  constructor(options: Partial<LeastSlackPolicyOptions> = {}) {
     super()
-    this.#options = { ...defaultSlackOrderOptions, ...options }
+    this.#options = { ...defaultLeastSlackPolicyOptions, ...options }
   }
 
   override rank(now: number, job: Job): number {
     const remainingMs = job.remainingMs()
     const latest = latestStart(job, remainingMs)
-    if (this.#options.inProgressFirst && job.isUnderWay) return latest - IN_PROGRESS_LEAD
+    if (this.#options.inProgressFirst && job.isInProgress) return latest - IN_PROGRESS_LEAD
     return now <= latest ? latest : LATE_RANK_BASE + remainingMs
   }
 
--- a/packages/dispatch/src/lib/scheduling/Scheduler.ts
+++ b/packages/dispatch/src/lib/scheduling/Scheduler.ts
@@ -1,15 +1,15 @@
 import { Mechanism } from '@cherryhitch/model'
 import type { EndpointCapacity } from '@cherryhitch/protocol'
 import { DispatchActionKind, Stage } from '../DispatchAction'
-import type { UnlistedTasks } from '../crashes/UnlistedTasks'
+import type { UnlistedTaskDetector } from '../crashes/UnlistedTaskDetector'
 import type { DispatchCore } from '../DispatchCore'
 import type { Job, Task } from '../jobs/Job'
-import type { JobBook } from '../jobs/JobBook'
+import type { JobRegistry } from '../jobs/JobRegistry'
 import type { RunTracker } from '../runs/RunTracker'
 import { EndpointIndex } from './EndpointIndex'
 import type { JobAdmission, RefusedJob } from './JobAdmission'
-import type { JobOrder } from './JobOrder'
-import { isSettled } from './isSettled'
+import type { QueuePolicy } from './QueuePolicy'
+import { areAllRunsKnown } from './areAllRunsKnown'
 import type { JobQueue } from './JobQueue'
 import type { ServiceEndpoints } from './ServiceEndpoints'
 import { ServiceSlots } from './ServiceSlots'
@@ -17,11 +17,11 @@
 
 /** Collaborators of the scheduler. @internal */
 export interface SchedulerDependencies {
-  readonly jobs: JobBook
+  readonly jobs: JobRegistry
   readonly runs: RunTracker
-  readonly queuePolicy: JobOrder
+  readonly queuePolicy: QueuePolicy
   readonly admission: JobAdmission
-  readonly unlisted: UnlistedTasks
+  readonly unlisted: UnlistedTaskDetector
   /** Ends a refused job and reports it as not run. */
   readonly refuse: (now: number, refused: RefusedJob) => void
 }
@@ -72,7 +72,7 @@
     this.#isDue = false
     if (this.dependencies.jobs.waiting.size === 0) return
     this.refresh(now)
-    const mayResume = this.dependencies.unlisted.isDone && isSettled(now, this.core)
+    const mayResume = this.dependencies.unlisted.isDone && areAllRunsKnown(now, this.core)
     const isReviewDue = now >= this.#reviewDueAt
     if (isReviewDue) this.#reviewDueAt = now + REVIEW_INTERVAL_MS
     this.core.counters.rounds++
@@ -90,7 +90,7 @@
    * them, so they can't be running anywhere.
    */
   #startable(queue: JobQueue): readonly Job[] {
-    if (!this.core.uses(Mechanism.EarlyNewJobs)) return []
+    if (!this.core.isEnabled(Mechanism.StartBeforeRecovery)) return []
     return queue.ranked.filter(({ isResumed }) => !isResumed)
   }
 
@@ -163,7 +163,7 @@
   ): boolean {
     const { job } = task
     this.core.counters.endpoints_visited += available.size
-    const picked = available.pick(task, needs, this.core.uses(Mechanism.CloseFit))
+    const picked = available.pick(task, needs, this.core.isEnabled(Mechanism.BestFit))
     if (picked === undefined) return false
     const { endpoint, slowness } = picked
     const expectedMs = job.runMs(task) * slowness
--- a/packages/dispatch/src/lib/scheduling/ServiceEndpoints.ts
+++ b/packages/dispatch/src/lib/scheduling/ServiceEndpoints.ts
@@ -32,7 +32,7 @@
     const { core } = this
     const health = core.health.state(now, endpoint.id)
     const use = useOf(now, core, endpoint, health)
-    if (use === EndpointUse.Available && endpoint.freeRoom().cpuMillis > 0) {
+    if (use === EndpointUse.Available && endpoint.freeCapacity().cpuMillis > 0) {
       this.available.set({ endpoint, health, slowness: core.slownessOf(now, endpoint) })
     } else {
       this.available.delete(endpoint)
@@ -42,7 +42,7 @@
     const isCounted = use !== EndpointUse.Excluded && health === HealthState.Healthy
     if (isCounted) this.runEnds.set(endpoint)
     else this.runEnds.delete(endpoint)
-    const isHeldBack = now < endpoint.pausedUntil || core.confirmedAt < endpoint.spreadAt
+    const isHeldBack = now < endpoint.pausedUntil || core.confirmedAt < endpoint.broadcastAt
     return health !== HealthState.Healthy || isHeldBack
   }
 
@@ -59,7 +59,7 @@
   endpoint: EndpointRecord,
   health: HealthState,
 ): EndpointUse {
-  const { notice, isReplaced, unanswered, runs, spreadAt } = endpoint
+  const { notice, isReplaced, unanswered, runs, broadcastAt: spreadAt } = endpoint
   if (notice.state !== NoticeState.SERVING || isReplaced) return EndpointUse.Excluded
   // After one call without an answer the endpoint still counts: a single answer may have been lost.
   if (unanswered > 1 || health === HealthState.Ejected) return EndpointUse.Excluded
@@ -69,7 +69,7 @@
   // have confirmed this leader since the endpoint's notice was last broadcast.
   const isKnown = core.confirmedAt >= spreadAt
   // Tasks beside a suspect one could be lost with it, and would become suspects as well.
-  const hasNoSuspect = !endpoint.hasSuspect
+  const hasNoSuspect = !endpoint.hasSuspectTask
   if (isTrusted && isKnown && hasNoSuspect && endpoint.mayStart(now)) return EndpointUse.Available
   return health === HealthState.Healthy ? EndpointUse.Expected : EndpointUse.Excluded
 }
--- a/packages/dispatch/src/lib/scheduling/ServiceSlots.ts
+++ b/packages/dispatch/src/lib/scheduling/ServiceSlots.ts
@@ -1,4 +1,4 @@
-import type { FreeRoom } from '../endpoints/EndpointRecord'
+import type { FreeCapacity } from '../endpoints/EndpointRecord'
 import { SlotSupply } from './JobAdmission'
 import { countSlots } from './AvailableEndpoints'
 import { addFreeSlots, makeFreeSlotsByMs } from './SlotForecast'
@@ -21,7 +21,7 @@
   constructor(
     private readonly now: number,
     private readonly endpoints: ServiceEndpoints,
-    private readonly needs: Readonly<FreeRoom>,
+    private readonly needs: Readonly<FreeCapacity>,
   ) {
     super()
   }
@@ -49,9 +49,9 @@
   /** Free slots of endpoints that can't receive tasks now but are expected to soon. */
   *#expected(): Generator<{ readonly isAdopted: boolean; readonly slots: number }> {
     for (const endpoint of this.endpoints.expected) {
-      const { cpuMillis, memoryMb, gpus } = endpoint.freeRoom()
+      const { cpuMillis, memoryMb, gpus } = endpoint.freeCapacity()
       const slots = countSlots(cpuMillis, memoryMb, gpus, this.needs)
-      yield { isAdopted: endpoint.isAdopted, slots }
+      yield { isAdopted: endpoint.isSynced, slots }
     }
   }
 }
--- a/packages/dispatch/src/lib/scheduling/OpenAdmission.ts
+++ b/packages/dispatch/src/lib/scheduling/UnconditionalAdmission.ts
@@ -6,7 +6,7 @@
  *
  * @public
  */
-export class OpenAdmission extends JobAdmission {
+export class UnconditionalAdmission extends JobAdmission {
   override decide(_now: number, { undecided }: AdmissionInput): AdmissionDecision {
     return { admitted: undecided, refused: [], slotsSimulated: 0 }
   }
--- a/packages/dispatch/src/lib/scheduling/WaitingJobs.ts
+++ b/packages/dispatch/src/lib/scheduling/WaitingJobs.ts
@@ -1,8 +1,8 @@
 import type { DispatchCore } from '../DispatchCore'
 import type { Job } from '../jobs/Job'
-import type { JobBook } from '../jobs/JobBook'
+import type { JobRegistry } from '../jobs/JobRegistry'
 import { JobQueue } from './JobQueue'
-import type { JobOrder } from './JobOrder'
+import type { QueuePolicy } from './QueuePolicy'
 
 /** The jobs with waiting tasks, in one queue per service. @internal */
 export class WaitingJobs {
@@ -13,8 +13,8 @@
 
   constructor(
     private readonly core: DispatchCore,
-    private readonly jobs: JobBook,
-    private readonly queuePolicy: JobOrder,
+    private readonly jobs: JobRegistry,
+    private readonly queuePolicy: QueuePolicy,
   ) {}
 
   /** Applies all changes since the last call. */
--- a/packages/dispatch/src/lib/scheduling/isSettled.ts
+++ b/packages/dispatch/src/lib/scheduling/areAllRunsKnown.ts
@@ -6,14 +6,14 @@
  *
  * @internal
  */
-export function isSettled(now: number, core: DispatchCore): boolean {
+export function areAllRunsKnown(now: number, core: DispatchCore): boolean {
   const { term, earlierLeadersConfirmedUntil, hasDirectory, timing, endpoints } = core
   if (term === undefined) return false
   const leaseMs = timing.leaderLeaseMs * (1 + timing.clockDrift)
   if (now >= earlierLeadersConfirmedUntil + leaseMs) return true
   if (!hasDirectory) return false
   for (const endpoint of endpoints.all()) {
-    if (!endpoint.isAdopted && !endpoint.isOver(now)) return false
+    if (!endpoint.isSynced && !endpoint.isQuiescent(now)) return false
   }
   return true
 }
--- a/packages/dispatch/src/lib/scheduling/giveUp.ts
+++ b/packages/dispatch/src/lib/scheduling/findUnservableJobs.ts
@@ -32,7 +32,7 @@
  *
  * @internal
  */
-export function findHopeless(now: number, jobs: Iterable<Job>): readonly UnservableJob[] {
+export function findUnservableJobs(now: number, jobs: Iterable<Job>): readonly UnservableJob[] {
   const contendedServices = new Set<string>()
   for (const job of jobs) {
     if (!job.hasStarted && !isPastLatestStart(now, job)) contendedServices.add(job.route.service)
--- a/packages/dispatch/src/lib/scheduling/incremental.test.ts
+++ b/packages/dispatch/src/lib/scheduling/incremental.test.ts
@@ -21,7 +21,7 @@
 import type { Run } from '../runs/Run'
 import { EndpointIndex } from './EndpointIndex'
 import { JobQueue } from './JobQueue'
-import { SlackOrder } from './JobOrder'
+import { LeastSlackPolicy } from './QueuePolicy'
 import { SlotForecast, addFreeSlots, makeFreeSlotsByMs } from './SlotForecast'
 
 const SERVICE = 'tracing'
@@ -66,8 +66,8 @@
 /** The endpoints that can receive tasks, found by checking each one. */
 function findAvailable(now: number, core: DispatchCore): EndpointRecord[] {
   return [...core.endpoints.all()].filter((endpoint) => {
-    if (endpoint.freeRoom().cpuMillis <= 0 || !endpoint.mayStart(now)) return false
-    if (core.confirmedAt < endpoint.spreadAt) return false
+    if (endpoint.freeCapacity().cpuMillis <= 0 || !endpoint.mayStart(now)) return false
+    if (core.confirmedAt < endpoint.broadcastAt) return false
     const health = core.health.state(now, endpoint.id)
     if (health === HealthState.Ejected) return false
     return health !== HealthState.Probation || endpoint.runs.size === 0
@@ -77,7 +77,7 @@
 /** The least cost of a task at any of the endpoints; Infinity when it fits nowhere. */
 function leastCost(available: readonly EndpointRecord[], cpuMillis: number): number {
   const costs = available.flatMap((endpoint) => {
-    const free = endpoint.freeRoom()
+    const free = endpoint.freeCapacity()
     if (free.cpuMillis < cpuMillis || free.memoryMb < 64) return []
     return costOf(endpoint, cpuMillis)
   })
@@ -86,7 +86,7 @@
 
 function costOf(endpoint: EndpointRecord, cpuMillis: number): number {
   const total = endpoint.notice.capacity?.cpuMillis ?? 1
-  return 1 + FIT_WEIGHT * ((endpoint.freeRoom().cpuMillis - cpuMillis) / total)
+  return 1 + FIT_WEIGHT * ((endpoint.freeCapacity().cpuMillis - cpuMillis) / total)
 }
 
 type Change = (core: DispatchCore, now: number) => void
@@ -113,8 +113,8 @@
         capacity: { cpuMillis, memoryMb: 1_000 },
         sequence: Math.floor(now) + 1,
       })
-      const taken = core.endpoints.take(now, notice)
-      if (taken !== undefined) taken.isAdopted = true
+      const taken = core.endpoints.applyNotice(now, notice)
+      if (taken !== undefined) taken.isSynced = true
     }
   }),
   fc.tuple(ids, ids, cpus).map(([id, name, cpuMillis]) => {
@@ -140,7 +140,7 @@
   }),
   ids.map((id) => {
     return onEndpoint(id, (endpoint, now) => {
-      endpoint.spreadAt = now
+      endpoint.broadcastAt = now
     })
   }),
   ids.map((id) => {
@@ -179,7 +179,7 @@
           const cost = picked === undefined ? Infinity : costOf(picked.endpoint, cpuMillis)
           assert.equal(cost, leastCost(available, cpuMillis))
           const slots = available.reduce((sum, endpoint) => {
-            return sum + Math.min(64, Math.floor(endpoint.freeRoom().cpuMillis / cpuMillis))
+            return sum + Math.min(64, Math.floor(endpoint.freeCapacity().cpuMillis / cpuMillis))
           }, 0)
           assert.equal(indexed.countFreeSlots({ cpuMillis, memoryMb: 0, gpus: 0 }, Infinity), slots)
           const counted = [...core.endpoints.all()].filter(({ unanswered }) => unanswered < 2)
@@ -195,7 +195,7 @@
 
 describe('the queue of a service', () => {
   it('has the order that sorting by rank gives, after any changes', () => {
-    const order = new SlackOrder()
+    const order = new LeastSlackPolicy()
     const steps = fc.array(
       fc.record({
         job: fc.integer({ min: 0, max: 9 }),
@@ -227,7 +227,7 @@
           const job = jobs[n]
           const moved = job?.tasks[task]
           if (job === undefined || moved === undefined) continue
-          job.move(moved, state)
+          job.setTaskState(moved, state)
           put(now, n)
           for (const overdue of queue.jobsWithExpiredRank(now)) put(now, jobs.indexOf(overdue))
           const waiting = jobs.filter((one) => one.waiting.length > 0)
--- a/packages/dispatch/src/lib/scheduling/load.test.ts
+++ b/packages/dispatch/src/lib/scheduling/load.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { playLoad } from '../soak/playLoad'
 import type { LoadOutcome } from '../soak/playLoad'
-import { OpenAdmission } from './OpenAdmission'
+import { UnconditionalAdmission } from './UnconditionalAdmission'
 
 const SEEDS = [1, 2, 3, 4, 5, 6]
 
@@ -69,7 +69,7 @@
 
   it('is refused later at 1.3 when every job is admitted, and is served no better', () => {
     const unconditional = SEEDS.map((seed) =>
-      playLoad({ load: 1.3, seed, admission: new OpenAdmission() }),
+      playLoad({ load: 1.3, seed, admission: new UnconditionalAdmission() }),
     )
     const forecast = simulate(1.3)
     const lateOf = ({ refusedLate, unserved }: LoadOutcome): number => refusedLate + unserved
--- a/packages/dispatch/src/lib/scheduling/overload.test.ts
+++ b/packages/dispatch/src/lib/scheduling/overload.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test'
 import { JobVerdict } from '@cherryhitch/protocol'
 import { DispatchWorld } from '../soak/DispatchWorld'
-import { ArrivalOrder, SlackOrder } from './JobOrder'
-import type { JobOrder } from './JobOrder'
+import { FifoPolicy, LeastSlackPolicy } from './QueuePolicy'
+import type { QueuePolicy } from './QueuePolicy'
 
 /** Twelve slots and runs of 120 ms: 100 tasks per second use the whole capacity. */
 const ENDPOINTS = 4
@@ -22,7 +22,7 @@
 }
 
 /** Simulates jobs of two tasks that arrive at a share of the slot capacity. */
-function simulate(order: JobOrder, share: number): LoadResult {
+function simulate(order: QueuePolicy, share: number): LoadResult {
   const world = new DispatchWorld({
     leaders: 1,
     endpoints: ENDPOINTS,
@@ -55,14 +55,14 @@
 
 describe('jobs that arrive below, at and above the rate of the slot capacity', () => {
   it('are all served in time at three quarters of the capacity', () => {
-    const { inTime, refused, violations } = simulate(new SlackOrder(), 0.75)
+    const { inTime, refused, violations } = simulate(new LeastSlackPolicy(), 0.75)
     assert.equal(refused, 0)
     assert.ok(inTime > 0.98, `${inTime} in time`)
     assert.deepEqual(violations, [])
   })
 
   it('are served up to capacity at 1.5 times the capacity, and the rest is refused early', () => {
-    const { inTime, refused, longestRefusalMs, violations } = simulate(new SlackOrder(), 1.5)
+    const { inTime, refused, longestRefusalMs, violations } = simulate(new LeastSlackPolicy(), 1.5)
     assert.ok(inTime > 0.55, `${inTime} in time`)
     assert.ok(refused < 0.4, `${refused} refused`)
     assert.ok(longestRefusalMs < OBJECTIVE_MS, `${longestRefusalMs} ms until a refusal`)
@@ -71,8 +71,8 @@
 
   it('are served no worse with least slack first than with first come, first served', () => {
     for (const share of [0.75, 1, 1.5]) {
-      const slack = simulate(new SlackOrder(), share).inTime
-      const arrival = simulate(new ArrivalOrder(), share).inTime
+      const slack = simulate(new LeastSlackPolicy(), share).inTime
+      const arrival = simulate(new FifoPolicy(), share).inTime
       assert.ok(slack >= arrival - 0.02, `${slack} against ${arrival} at ${share}`)
     }
   })
--- a/packages/dispatch/src/lib/scheduling/overrun.test.ts
+++ b/packages/dispatch/src/lib/scheduling/overrun.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { JobVerdict } from '@cherryhitch/protocol'
-import { judgeOverrun, OverrunVerdict } from './overrun'
+import { decideOverrun, OverrunDecision } from './overrun'
 import type { OverrunEvidence } from './overrun'
 import { DispatchWorld } from '../soak/DispatchWorld'
 
@@ -46,23 +46,23 @@
 
 describe('a run far beyond its estimate', () => {
   const alone = { otherEndpoints: 0, isEndpointSound: false, freshMs: 300, leftMs: 1_000 }
-  const cases: readonly (readonly [string, Partial<OverrunEvidence>, OverrunVerdict])[] = [
-    ['is stopped when nothing shows that its endpoint is healthy', {}, OverrunVerdict.Stop],
+  const cases: readonly (readonly [string, Partial<OverrunEvidence>, OverrunDecision])[] = [
+    ['is stopped when nothing shows that its endpoint is healthy', {}, OverrunDecision.Stop],
     [
       'continues when tasks of its step overrun on other endpoints',
       { otherEndpoints: 1 },
-      OverrunVerdict.GoOn,
+      OverrunDecision.Continue,
     ],
     [
       'continues at an endpoint that completes other runs on time',
       { isEndpointSound: true },
-      OverrunVerdict.GoOn,
+      OverrunDecision.Continue,
     ],
-    ['continues when there is no time for a restart', { leftMs: 299 }, OverrunVerdict.GoOn],
+    ['continues when there is no time for a restart', { leftMs: 299 }, OverrunDecision.Continue],
   ]
   for (const [name, evidence, verdict] of cases) {
     it(name, () => {
-      assert.equal(judgeOverrun({ ...alone, ...evidence }), verdict)
+      assert.equal(decideOverrun({ ...alone, ...evidence }), verdict)
     })
   }
 })
--- a/packages/dispatch/src/lib/scheduling/overrun.ts
+++ b/packages/dispatch/src/lib/scheduling/overrun.ts
@@ -7,16 +7,16 @@
 const MIN_OVERRUN_MS = 300
 
 /** Time after its start at which a run counts as an overrun, in milliseconds. @internal */
-export function overrunAfter(expectedMs: number): number {
+export function overrunThresholdMs(expectedMs: number): number {
   return Math.max(MIN_OVERRUN_MS, OVERRUN_FACTOR * expectedMs)
 }
 
 /** What to do with a run that takes far longer than its estimate. @internal */
-export enum OverrunVerdict {
+export enum OverrunDecision {
   /** The endpoint may be the cause: stop the run and restart the task on another endpoint. */
   Stop = 'stop',
   /** The task itself is long, or a restart elsewhere would end too late: let the run continue. */
-  GoOn = 'go_on',
+  Continue = 'go_on',
 }
 
 /** Observations that show whether the endpoint or the task causes an overrun. @internal */
@@ -42,8 +42,8 @@
  *
  * @internal
  */
-export function judgeOverrun(evidence: OverrunEvidence): OverrunVerdict {
+export function decideOverrun(evidence: OverrunEvidence): OverrunDecision {
   const { otherEndpoints, isEndpointSound, freshMs, leftMs } = evidence
-  if (otherEndpoints > 0 || isEndpointSound) return OverrunVerdict.GoOn
-  return freshMs > leftMs ? OverrunVerdict.GoOn : OverrunVerdict.Stop
+  if (otherEndpoints > 0 || isEndpointSound) return OverrunDecision.Continue
+  return freshMs > leftMs ? OverrunDecision.Continue : OverrunDecision.Stop
 }
--- a/packages/dispatch/src/lib/soak/DispatchWorld.ts
+++ b/packages/dispatch/src/lib/soak/DispatchWorld.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import { JobStepSchema, JobVerdict, NoticeState, SteppedJobSchema } from '@cherryhitch/protocol'
 import type { EndpointNotice, Envelope, JobOutcome } from '@cherryhitch/protocol'
-import { Agenda } from '@cherryhitch/runtime'
+import { EventScheduler } from '@cherryhitch/runtime'
 import { DispatchActionKind } from '../DispatchAction'
 import type { DispatchAction } from '../DispatchAction'
 import { DispatchEventKind } from '../DispatchEvent'
@@ -58,7 +58,7 @@
   readonly lives: EndpointLives
   readonly #cutEndpoints = new Map<string, Set<string>>()
   readonly #cutFromQuorum = new Set<number>()
-  readonly #agenda = new Agenda({ startMs: 0 })
+  readonly #agenda = new EventScheduler({ startMs: 0 })
   #heartbeatDueAt = 0
   #endpointsAdded = 0
   #term = 0
@@ -265,10 +265,14 @@
     // Another election may have come in between, or the elected one may have been lost.
     if (this.#term !== term || !this.isUp(leader)) return
     this.#cutFromQuorum.delete(leader)
-    this.#tell(leader, { kind: DispatchEventKind.Lead, term, table: TABLE })
+    this.#tell(leader, { kind: DispatchEventKind.BecomeLeader, term, table: TABLE })
     const learn = (): void => {
       this.#readDirectories(leader, term)
-      this.#tell(leader, { kind: DispatchEventKind.EarlierLeaders, term, followedUntil })
+      this.#tell(leader, {
+        kind: DispatchEventKind.EarlierLeadersConfirmed,
+        term,
+        confirmedUntil: followedUntil,
+      })
     }
     this.after(2 * WAY_MS, this.#processes.bind(leader, learn))
     this.after(0, () => {
@@ -283,7 +287,7 @@
     if (asked !== undefined) this.#tellNotices(asked, leader)
     const majority = asked === undefined ? [leader] : [leader, asked]
     if (!majority.every((i) => this.#hasWholeDirectory(i))) return
-    this.#tell(leader, { kind: DispatchEventKind.DirectoryRead, term })
+    this.#tell(leader, { kind: DispatchEventKind.DirectoryComplete, term })
   }
 
   /** A process that started lately may not have heard of every endpoint. */
@@ -343,7 +347,7 @@
     this.#sendHeartbeats()
     for (const [i, leader] of this.#leaders.entries()) {
       if (!this.#cutFromQuorum.has(i)) {
-        this.#tell(i, { kind: DispatchEventKind.Confirmed, at: this.now - 2 * WAY_MS })
+        this.#tell(i, { kind: DispatchEventKind.LeadershipConfirmed, at: this.now - 2 * WAY_MS })
       }
       if (this.isUp(i)) leader.tick()
       const machine = this.#machines[i]
@@ -366,7 +370,7 @@
     const notice = endpoint.notice()
     for (const [i, machine] of this.#machines.entries()) {
       // That it leaves is told to all before it is acknowledged.
-      if (!machine.knows(notice.endpoint) && notice.state === NoticeState.SERVING) continue
+      if (!machine.hasEndpoint(notice.endpoint) && notice.state === NoticeState.SERVING) continue
       this.#tellNotice(i, notice)
     }
     const isLeaving = notice.state === NoticeState.LEAVING
@@ -388,11 +392,12 @@
   #perform(leader: number, actions: readonly DispatchAction[]): void {
     for (const action of actions) {
       if (action.kind === DispatchActionKind.Order) this.#proxies.order(leader, action)
-      else if (action.kind === DispatchActionKind.Spread) this.#spread(leader, action.notice)
-      else if (action.kind === DispatchActionKind.SpreadLoss) {
+      else if (action.kind === DispatchActionKind.BroadcastNotice)
+        this.#spread(leader, action.notice)
+      else if (action.kind === DispatchActionKind.BroadcastLosses) {
         const machine = this.#machines[leader]
         if (machine !== undefined) this.#stored.noteNews(this.now, leader, machine)
-        this.#tellOthers(leader, { kind: DispatchEventKind.Loss, news: action.news })
+        this.#tellOthers(leader, { kind: DispatchEventKind.EndpointLosses, losses: action.losses })
       } else if (action.kind === DispatchActionKind.Answer) {
         const { outcome } = action
         this.after(WAY_MS, () => {
@@ -418,7 +423,7 @@
   /** An instance tells another one which endpoints it knows, and which were lost. */
   #tellNotices(from: number, to: number): void {
     const news = this.#machines[from]?.losses(this.now)
-    if (news !== undefined) this.#tell(to, { kind: DispatchEventKind.Loss, news })
+    if (news !== undefined) this.#tell(to, { kind: DispatchEventKind.EndpointLosses, losses: news })
     for (const notice of this.#machines[from]?.notices(this.now) ?? []) {
       this.#tellNotice(to, notice)
     }
--- a/packages/dispatch/src/lib/soak/DispatchWorldOptions.ts
+++ b/packages/dispatch/src/lib/soak/DispatchWorldOptions.ts
@@ -2,7 +2,7 @@
 import type { DispatchMachine } from '../DispatchMachine'
 import type { DispatchOptions } from '../DispatchOptions'
 import type { JobAdmission } from '../scheduling/JobAdmission'
-import type { JobOrder } from '../scheduling/JobOrder'
+import type { QueuePolicy } from '../scheduling/QueuePolicy'
 import type { WorldChances } from './OrderCarrier'
 import type { LeaderCosts } from './PayingLeader'
 
@@ -17,7 +17,7 @@
   readonly proxies?: number
   readonly random: () => number
   readonly chances?: Partial<WorldChances>
-  readonly order?: JobOrder
+  readonly order?: QueuePolicy
   readonly admission?: JobAdmission
   readonly without?: readonly Mechanism[]
   /** How long each run takes, in milliseconds, or what tells it of a task at an endpoint; drawn by default. */
--- a/packages/dispatch/src/lib/soak/PayingLeader.ts
+++ b/packages/dispatch/src/lib/soak/PayingLeader.ts
@@ -83,7 +83,7 @@
     this.busyMs += ms
     after(ms, () => {
       perform(actions)
-      machine.noteStep(now(), now() - since)
+      machine.recordStep(now(), now() - since)
       this.#isBusy = false
       this.#work()
     })
--- a/packages/dispatch/src/lib/soak/ProxyWorld.ts
+++ b/packages/dispatch/src/lib/soak/ProxyWorld.ts
@@ -84,7 +84,7 @@
       case RouterActionKind.Forward:
         this.forward(leader, action.to, action.orders)
         return
-      case RouterActionKind.Tell:
+      case RouterActionKind.DeliverAnswer:
         tell(leader, action.event)
         return
       case RouterActionKind.Log:
--- a/packages/dispatch/src/lib/soak/SentRequests.ts
+++ b/packages/dispatch/src/lib/soak/SentRequests.ts
@@ -31,11 +31,11 @@
 export function requestOf(from: string, { body }: Envelope): DispatchEvent | undefined {
   switch (body.case) {
     case 'submitJob':
-      return { kind: DispatchEventKind.Submit, from, req: body.value }
+      return { kind: DispatchEventKind.SubmitJob, from, req: body.value }
     case 'abandonJob':
-      return { kind: DispatchEventKind.Abandon, from, req: body.value }
+      return { kind: DispatchEventKind.AbandonJob, from, req: body.value }
     case 'unansweredJobs':
-      return { kind: DispatchEventKind.Unanswered, req: body.value }
+      return { kind: DispatchEventKind.UnansweredJobs, req: body.value }
     default:
       return undefined
   }
--- a/packages/dispatch/src/lib/soak/SimulatedLeader.ts
+++ b/packages/dispatch/src/lib/soak/SimulatedLeader.ts
@@ -23,7 +23,7 @@
   override tell(event: DispatchEvent): void {
     const { machine, now, perform } = this.around
     perform(machine.step(now(), event))
-    machine.noteStep(now(), 0)
+    machine.recordStep(now(), 0)
   }
 
   override tick(): void {
--- a/packages/dispatch/src/lib/soak/StoredDirectories.ts
+++ b/packages/dispatch/src/lib/soak/StoredDirectories.ts
@@ -1,5 +1,5 @@
 import type { EndpointNotice } from '@cherryhitch/protocol'
-import type { LossNews } from '../crashes/LossNews'
+import type { LossUpdate } from '../crashes/LossUpdate'
 import { DispatchEventKind } from '../DispatchEvent'
 import type { DispatchEvent } from '../DispatchEvent'
 import type { DispatchMachine } from '../DispatchMachine'
@@ -11,7 +11,7 @@
 interface Stored {
   readonly at: number
   readonly notices: readonly EndpointNotice[]
-  readonly news: LossNews
+  readonly news: LossUpdate
 }
 
 /** What simulated instances have on their disks of endpoints. @internal */
@@ -42,6 +42,6 @@
     const told = notices.map((notice) => {
       return { kind: DispatchEventKind.Notice as const, notice: { ...notice, ageMs: 0 } }
     })
-    return [{ kind: DispatchEventKind.Loss, news }, ...told]
+    return [{ kind: DispatchEventKind.EndpointLosses, losses: news }, ...told]
   }
 }
--- a/packages/dispatch/src/lib/soak/playLoad.ts
+++ b/packages/dispatch/src/lib/soak/playLoad.ts
@@ -5,7 +5,7 @@
 import type { DispatchMachine } from '../DispatchMachine'
 import type { DispatchOptions } from '../DispatchOptions'
 import type { JobAdmission } from '../scheduling/JobAdmission'
-import type { JobOrder } from '../scheduling/JobOrder'
+import type { QueuePolicy } from '../scheduling/QueuePolicy'
 import { DispatchWorld } from './DispatchWorld'
 import type { LeaderCosts } from './PayingLeader'
 
@@ -62,7 +62,7 @@
   /** Arriving work over what the places can do. */
   readonly load: number
   readonly seed?: number
-  readonly order?: JobOrder
+  readonly order?: QueuePolicy
   readonly admission?: JobAdmission
   readonly without?: readonly Mechanism[]
   /** Share of the orders that get no answer and are carried out late. */
--- a/packages/dispatch/src/lib/startDispatcher.ts
+++ b/packages/dispatch/src/lib/startDispatcher.ts
@@ -5,7 +5,7 @@
 import type { Clock, Part } from '@cherryhitch/runtime'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
-import type { LossNews } from './crashes/LossNews'
+import type { LossUpdate } from './crashes/LossUpdate'
 import { DispatchActionKind } from './DispatchAction'
 import type { DispatchAction, SendOrder, Stage } from './DispatchAction'
 import type { DispatchEvent } from './DispatchEvent'
@@ -24,10 +24,10 @@
   readonly gateway: EndpointGateway
   readonly send: (to: string, message: Envelope) => void
   /** Broadcasts the notice of an endpoint to all instances that may become leader. */
-  readonly spread: (notice: EndpointNotice) => void
+  readonly broadcastNotice: (notice: EndpointNotice) => void
   /** Broadcasts a report on lost endpoints to all instances that may become leader. */
-  readonly spreadLosses: (news: LossNews) => void
-  readonly log: (sentence: string, fields: Readonly<Record<string, unknown>>) => void
+  readonly broadcastLosses: (news: LossUpdate) => void
+  readonly log: (message: string, fields: Readonly<Record<string, unknown>>) => void
   readonly measure: (stage: Stage, route: string, ms: number) => void
   readonly onDefect: (defect: unknown) => void
   readonly clock?: Clock
@@ -120,14 +120,14 @@
       case DispatchActionKind.Answer:
         options.send(action.to, wrapMessage({ case: 'jobOutcome', value: action.outcome }))
         return
-      case DispatchActionKind.Spread:
-        options.spread(action.notice)
+      case DispatchActionKind.BroadcastNotice:
+        options.broadcastNotice(action.notice)
         return
-      case DispatchActionKind.SpreadLoss:
-        options.spreadLosses(action.news)
+      case DispatchActionKind.BroadcastLosses:
+        options.broadcastLosses(action.losses)
         return
       case DispatchActionKind.Log:
-        options.log(action.sentence, action.fields)
+        options.log(action.message, action.fields)
         return
       case DispatchActionKind.Measure:
         options.measure(action.stage, action.route, action.ms)
@@ -165,11 +165,11 @@
           this.options.send(action.to, wrapMessage({ case: 'endpointOrders', value }))
           break
         }
-        case RouterActionKind.Tell:
+        case RouterActionKind.DeliverAnswer:
           this.tell(action.event)
           break
         case RouterActionKind.Log:
-          this.options.log(action.sentence, action.fields)
+          this.options.log(action.message, action.fields)
           break
         default:
           exhaustive(action)
--- a/packages/dispatch/src/lib/rehearsal/Rehearsal.test.ts
+++ b/packages/dispatch/src/lib/warmup/LeaderWarmup.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { Rehearsal } from './Rehearsal'
+import { LeaderWarmup } from './LeaderWarmup'
 
 describe('the leader warm-up', () => {
   it('ends, and completes most of its jobs', () => {
-    const warmup = new Rehearsal()
+    const warmup = new LeaderWarmup()
     let steps = 0
-    while (!warmup.isOver) {
+    while (!warmup.isDone) {
       warmup.step()
       steps++
     }
--- a/packages/dispatch/src/lib/rehearsal/Rehearsal.ts
+++ b/packages/dispatch/src/lib/warmup/LeaderWarmup.ts
@@ -49,7 +49,7 @@
  *
  * @public
  */
-export class Rehearsal {
+export class LeaderWarmup {
   readonly #machine = new DispatchMachine({})
   readonly #router = new OrderRouter()
   readonly #endpoints = new Map<string, WarmupEndpoint>()
@@ -60,14 +60,14 @@
 
   constructor() {
     this.#events.push(
-      { kind: DispatchEventKind.Lead, term: TERM, table: makeTable() },
-      { kind: DispatchEventKind.EarlierLeaders, term: TERM, followedUntil: -Infinity },
-      { kind: DispatchEventKind.DirectoryRead, term: TERM },
+      { kind: DispatchEventKind.BecomeLeader, term: TERM, table: makeTable() },
+      { kind: DispatchEventKind.EarlierLeadersConfirmed, term: TERM, confirmedUntil: -Infinity },
+      { kind: DispatchEventKind.DirectoryComplete, term: TERM },
     )
     for (let n = 0; n < ENDPOINTS; n++) this.#addEndpoint(`e${n}`)
   }
 
-  get isOver(): boolean {
+  get isDone(): boolean {
     return this.#steps >= STEPS
   }
 
@@ -86,7 +86,7 @@
       endpoints: ENDPOINTS,
     } as const
     this.#route(this.#router.step(this.#now, proxies))
-    this.#events.push({ kind: DispatchEventKind.Confirmed, at: this.#now })
+    this.#events.push({ kind: DispatchEventKind.LeadershipConfirmed, at: this.#now })
     for (let n = 0; n < JOBS_PER_STEP; n++) this.#submit()
     const events = this.#events
     this.#events = []
@@ -134,7 +134,7 @@
     })
     const sent = encodeAndDecode({ case: 'submitJob', value: req })
     if (sent?.case !== 'submitJob') return
-    this.#events.push({ kind: DispatchEventKind.Submit, from: 'entry', req: sent.value })
+    this.#events.push({ kind: DispatchEventKind.SubmitJob, from: 'entry', req: sent.value })
   }
 
   #perform(actions: readonly DispatchAction[]): void {
@@ -149,7 +149,7 @@
 
   #route(actions: readonly RouterAction[]): void {
     for (const action of actions) {
-      if (action.kind === RouterActionKind.Tell) this.#events.push(action.event)
+      if (action.kind === RouterActionKind.DeliverAnswer) this.#events.push(action.event)
       else if (action.kind === RouterActionKind.Forward) this.#carry(action.orders)
       else if (action.kind === RouterActionKind.Call) this.#carry([action.send.order])
     }
--- a/packages/membership/src/lib/MembershipMachine.test.ts
+++ b/packages/membership/src/lib/MembershipMachine.test.ts
@@ -10,7 +10,12 @@
   defaultMembershipTiming,
 } from '../index'
 
-const { timeoutMs, linkDownTimeoutMs, heartbeatMs, farHeartbeatMs } = defaultMembershipTiming
+const {
+  timeoutMs,
+  linkDownTimeoutMs,
+  heartbeatMs,
+  crossZoneHeartbeatMs: farHeartbeatMs,
+} = defaultMembershipTiming
 
 function createMachine(instance: string, zone: string): MembershipMachine {
   const all = [
--- a/packages/membership/src/lib/MembershipMachine.ts
+++ b/packages/membership/src/lib/MembershipMachine.ts
@@ -2,7 +2,7 @@
 import { exhaustive } from '@cherryhitch/model'
 import type { Envelope, InstanceHeartbeat, ServiceSummary } from '@cherryhitch/protocol'
 import { InstanceState, envelope } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
+import { StateMachine } from '@cherryhitch/runtime'
 import type { MembershipAction } from './MembershipAction'
 import { MembershipActionKind } from './MembershipAction'
 import type { MembershipEvent } from './MembershipEvent'
@@ -33,7 +33,7 @@
  *
  * @public
  */
-export class MembershipMachine extends Machine<MembershipEvent, MembershipAction> {
+export class MembershipMachine extends StateMachine<MembershipEvent, MembershipAction> {
   private readonly timing: MembershipTiming
   private readonly peers: ReadonlyMap<string, PeerRecord>
   private readonly count = {
@@ -183,7 +183,7 @@
       this.lastUrgentAt = now
     }
     if (isSameZoneDue) this.sameZoneDueAt = now + this.timing.heartbeatMs
-    if (isCrossZoneDue) this.crossZoneDueAt = now + this.timing.farHeartbeatMs
+    if (isCrossZoneDue) this.crossZoneDueAt = now + this.timing.crossZoneHeartbeatMs
     return [...this.peers.values()]
       .filter((peer) => (this.isInSameZone(peer) ? isSameZoneDue : isCrossZoneDue))
       .map((peer) => this.sendHeartbeat(now, peer.known.instance))
--- a/packages/membership/src/lib/MembershipOptions.ts
+++ b/packages/membership/src/lib/MembershipOptions.ts
@@ -9,7 +9,7 @@
   /** Interval of heartbeats to instances in the same availability zone. */
   readonly heartbeatMs: number
   /** Interval of heartbeats to instances in other zones, longer because those links cost more. */
-  readonly farHeartbeatMs: number
+  readonly crossZoneHeartbeatMs: number
   /** Time without a heartbeat after which an instance is considered lost. */
   readonly timeoutMs: number
   /** The same while the link to the instance is down. */
@@ -33,7 +33,7 @@
  */
 export const defaultMembershipTiming: MembershipTiming = {
   heartbeatMs: 200,
-  farHeartbeatMs: 400,
+  crossZoneHeartbeatMs: 400,
   timeoutMs: 2500,
   linkDownTimeoutMs: 1000,
   minUrgentIntervalMs: 20,
--- a/packages/model/src/lib/dispatching/Mechanism.ts
+++ b/packages/model/src/lib/dispatching/Mechanism.ts
@@ -3,15 +3,15 @@
   /** Refuses a job on arrival if it would not get capacity in time. */
   Admission = 'admission',
   /** Serves the job with the earliest latest start first; without it, jobs are served FIFO. */
-  Order = 'order',
+  QueuePolicy = 'order',
   /** Serves jobs that are in progress before others. */
-  UnderWayFirst = 'under_way_first',
+  InProgressFirst = 'under_way_first',
   /** Polls endpoints for runs that are overdue. */
-  Looks = 'looks',
+  OverduePolls = 'looks',
   /** Resends orders to start a task that got no answer. */
-  RepeatedStarts = 'repeated_starts',
+  StartRetries = 'repeated_starts',
   /** Derives timeouts from measured round-trip times. */
-  RoundTrips = 'round_trips',
+  AdaptiveTimeouts = 'round_trips',
   /** Estimates run times from earlier runs. */
   LearnedEstimates = 'learned_estimates',
   /** Takes into account how slow an endpoint is compared to its peers. */
@@ -25,11 +25,11 @@
   /** Stops runs that take far longer than estimated. */
   Overrun = 'overrun',
   /** Prefers endpoints with little free capacity, which reduces fragmentation (best fit). */
-  CloseFit = 'close_fit',
+  BestFit = 'close_fit',
   /** Refuses new jobs while the leader itself is overloaded. */
   IntakeLimit = 'intake_limit',
   /** Starts new jobs before the runs started by earlier leaders are known. */
-  EarlyNewJobs = 'early_new_jobs',
+  StartBeforeRecovery = 'early_new_jobs',
   /** Gives up tasks that crash the endpoints that start them. */
-  CrashBlame = 'crash_blame',
+  CrashAttribution = 'crash_blame',
 }
--- a/packages/owner/src/lib/OwnerContext.ts
+++ b/packages/owner/src/lib/OwnerContext.ts
@@ -6,15 +6,15 @@
   createTaskQueue,
 } from '@cherryhitch/policy'
 import type { PresetDefinition } from '@cherryhitch/protocol'
-import { ServiceLane } from './dispatch/ServiceLane'
+import { ServicePool } from './dispatch/ServicePool'
 import type { EndpointRecord } from './endpoints/EndpointRecord'
 import { OwnershipView } from './endpoints/OwnershipView'
 import { Outbox } from './Outbox'
 import { newOwnerCounters } from './OwnerCounters'
 import type { OwnerLimits, OwnerMachineOptions, OwnerTiming } from './OwnerOptions'
 import { defaultOwnerLimits, defaultOwnerTiming } from './OwnerOptions'
-import { TaskBook } from './tasks/TaskBook'
-import { TaskMemory } from './tasks/TaskMemory'
+import { TaskRegistry } from './tasks/TaskRegistry'
+import { TaskHistory } from './tasks/TaskHistory'
 import type { TaskRecord } from './tasks/TaskRecord'
 import { TaskPhase } from './tasks/TaskRecord'
 
@@ -25,22 +25,22 @@
   readonly zone: string
   readonly timing: OwnerTiming
   readonly limits: OwnerLimits
-  readonly book = new TaskBook()
-  readonly memory: TaskMemory
+  readonly book = new TaskRegistry()
+  readonly memory: TaskHistory
   readonly outbox = new Outbox()
   readonly counters = newOwnerCounters()
   readonly ownership: OwnershipView
   /** Endpoints that are owned here or still run tasks that were dispatched from here. */
   readonly endpoints = new Map<string, EndpointRecord>()
-  readonly lanes = new Map<string, ServiceLane>()
+  readonly pools = new Map<string, ServicePool>()
   /** Pools in which a task may have become dispatchable since the last dispatch. */
-  readonly dirtyPools = new Set<ServiceLane>()
+  readonly dirtyPools = new Set<ServicePool>()
   /** Per handed-over endpoint, ended tasks that its new owner has not been told of. */
   readonly releasedSlots = new Map<string, string[]>()
   /** Per service, the owners that its endpoints were handed over to. */
   readonly successors = new Map<string, Set<string>>()
   /** Endpoints with task ids in `pendingStops`. */
-  readonly stopsWaiting = new Set<EndpointRecord>()
+  readonly endpointsWithPendingStops = new Set<EndpointRecord>()
   preset: PresetDefinition
   health: EndpointHealth
   picker: EndpointPicker
@@ -53,10 +53,10 @@
     this.zone = options.zone
     this.timing = { ...defaultOwnerTiming, ...options.timing }
     this.limits = { ...defaultOwnerLimits, ...options.limits }
-    this.memory = new TaskMemory({
-      rememberMs: this.timing.rememberMs,
-      tasks: this.limits.rememberedTasks,
-      output: this.limits.rememberedOutputChars,
+    this.memory = new TaskHistory({
+      retentionMs: this.timing.rememberMs,
+      maxTasks: this.limits.rememberedTasks,
+      maxOutputLength: this.limits.rememberedOutputChars,
     })
     this.preset = options.preset
     this.ownership = new OwnershipView(options.instance, options.zone, options.preset.ownerShards)
@@ -65,11 +65,11 @@
     this.retries = createRetryBudget(options.preset)
   }
 
-  lane(service: string): ServiceLane {
-    const known = this.lanes.get(service)
+  poolOf(service: string): ServicePool {
+    const known = this.pools.get(service)
     if (known !== undefined) return known
-    const pool = new ServiceLane(service, createTaskQueue<TaskRecord>(this.preset.queueOrder))
-    this.lanes.set(service, pool)
+    const pool = new ServicePool(service, createTaskQueue<TaskRecord>(this.preset.queueOrder))
+    this.pools.set(service, pool)
     return pool
   }
 
@@ -88,7 +88,7 @@
 
   /** Re-evaluates whether an endpoint has free slots, after any change to its record. */
   refresh(record: EndpointRecord): void {
-    const pool = this.lanes.get(record.service)
+    const pool = this.pools.get(record.service)
     if (pool === undefined) return
     pool.refresh(record)
     this.dirtyPools.add(pool)
@@ -97,15 +97,15 @@
   /** Requests that a dispatched task be stopped at its endpoint. */
   stop(task: TaskRecord): void {
     task.phase = TaskPhase.Stopping
-    this.askToStop(task)
+    this.requestStop(task)
   }
 
   /** Adds a task to its endpoint's next StopTasks, unless the one in flight includes it. */
-  askToStop(task: TaskRecord): void {
+  requestStop(task: TaskRecord): void {
     const record = task.endpoint
-    if (record === undefined || record.stopsAsked?.includes(task.taskId)) return
+    if (record === undefined || record.stopsInFlight?.includes(task.taskId)) return
     record.pendingStops.add(task.taskId)
-    this.stopsWaiting.add(record)
+    this.endpointsWithPendingStops.add(record)
   }
 
   /** Time by which the lease of a task has certainly expired, message delay included. */
@@ -121,17 +121,17 @@
     const old = this.preset
     this.preset = preset
     if (old.queueOrder !== preset.queueOrder) {
-      for (const pool of this.lanes.values()) this.rebuildQueue(now, pool)
+      for (const pool of this.pools.values()) this.rebuildQueue(now, pool)
     }
     if (old.placementRule !== preset.placementRule) {
       this.picker = createEndpointPicker(preset.placementRule)
     }
     if (old.retryBudget !== preset.retryBudget) this.retries = createRetryBudget(preset)
     if (old.healthRule !== preset.healthRule) this.rebuildHealth()
-    for (const pool of this.lanes.values()) this.dirtyPools.add(pool)
+    for (const pool of this.pools.values()) this.dirtyPools.add(pool)
   }
 
-  private rebuildQueue(now: number, pool: ServiceLane): void {
+  private rebuildQueue(now: number, pool: ServicePool): void {
     const waiting = [...pool.queue.tasks()]
     waiting.sort((one, other) => one.enqueuedAt - other.enqueuedAt)
     pool.queue = createTaskQueue<TaskRecord>(this.preset.queueOrder)
--- a/packages/owner/src/lib/OwnerEvent.ts
+++ b/packages/owner/src/lib/OwnerEvent.ts
@@ -67,8 +67,8 @@
   | {
       readonly kind: OwnerEventKind.LeasesRenewed
       readonly endpoint: string
-      readonly asked: readonly string[]
-      readonly known: readonly string[] | undefined
+      readonly taskIds: readonly string[]
+      readonly knownTaskIds: readonly string[] | undefined
       /** Boot number of the endpoint that answered, if the answer includes it. */
       readonly boot?: number | undefined
     }
--- a/packages/owner/src/lib/OwnerMachine.test.ts
+++ b/packages/owner/src/lib/OwnerMachine.test.ts
@@ -4,8 +4,8 @@
 import fc from 'fast-check'
 import { RunResultKind } from './endpointResults'
 import { JOB, OwnerFixture } from './fixtures/OwnerFixture'
-import { OwnerGroup } from './fixtures/OwnerGroup'
-import { OwnerWorld } from './fixtures/OwnerWorld'
+import { OwnerGroupSimulation } from './fixtures/OwnerGroupSimulation'
+import { OwnerSimulation } from './fixtures/OwnerSimulation'
 import { OwnerActionKind } from './OwnerAction'
 
 /** Steps of a random run; ordinary steps are more frequent than faults. */
@@ -35,7 +35,7 @@
   it('starts no task twice, and reports each placed task once and with its true outcome', () => {
     const step = fc.record({ name: fc.constantFrom(...steps), draw: fc.nat(10_000) })
     const run = fc.property(fc.array(step, { minLength: 20, maxLength: 200 }), (sequence) => {
-      const world = new OwnerWorld()
+      const world = new OwnerSimulation()
       for (const { name, draw } of sequence) world[name](draw)
       world.settle()
       assert.equal(world.owner.machine.tasks, 0)
@@ -48,11 +48,11 @@
 describe('owners that join and drain', () => {
   it('run each task once, and never exceed the slots of an endpoint', () => {
     const run = fc.property(fc.nat(), fc.constantFrom(1, 4), (seed, shards) => {
-      const group = new OwnerGroup(seed, shards)
+      const group = new OwnerGroupSimulation(seed, shards)
       group.runUntil(1500)
       for (let job = 0; job < JOBS; job++) {
         group.place(`c1.1.${job.toString(36)}`)
-        if (job % 20 === 0) group.flip()
+        if (job % 20 === 0) group.toggleDraining()
         group.runUntil(group.now + 60)
       }
       group.runUntil(group.now + 20_000)
@@ -72,7 +72,7 @@
     owner.now += 200
     owner.end(owner.runOf(), RunResultKind.Succeeded)
     owner.end(owner.runOf(`${JOB}.1`), RunResultKind.Failed)
-    const spans = owner.all(OwnerActionKind.Span).map(({ span }) => span)
+    const spans = owner.actionsOf(OwnerActionKind.Span).map(({ span }) => span)
     const run = spans.find(({ name }) => name === 'owner.run')
     assert.equal(traceparent, `00-${'a'.repeat(32)}-${run?.spanId}-01`)
     assert.deepEqual([run?.endMs, run?.startMs, run?.ok], [1200, 1000, true])
@@ -89,18 +89,18 @@
 describe('service summaries', () => {
   it('are announced when free slots appear, run out, or change by more than a quarter', () => {
     const owner = new OwnerFixture()
-    const announced = (): number => owner.all(OwnerActionKind.SummaryChanged).length
+    const announced = (): number => owner.actionsOf(OwnerActionKind.SummaryChanged).length
     owner.heartbeat()
-    owner.pass(100)
+    owner.advance(100)
     assert.equal(announced(), 1)
     owner.place([0])
-    owner.passWithHeartbeats(200, {})
+    owner.advanceWithHeartbeats(200, {})
     assert.equal(announced(), 1, 'a change of one in eight slots is not announced')
     owner.place([1, 2, 3, 4, 5, 6, 7])
-    owner.pass(100)
+    owner.advance(100)
     assert.equal(announced(), 2)
     owner.end(owner.runOf(), RunResultKind.Succeeded)
-    owner.pass(100)
+    owner.advance(100)
     assert.equal(announced(), 3)
   })
 
--- a/packages/owner/src/lib/OwnerMachine.ts
+++ b/packages/owner/src/lib/OwnerMachine.ts
@@ -2,9 +2,9 @@
 import type { InstanceView } from '@cherryhitch/model'
 import type { PresetDefinition, ServiceSummary } from '@cherryhitch/protocol'
 import { Reason } from '@cherryhitch/protocol'
-import { Machine } from '@cherryhitch/runtime'
+import { StateMachine } from '@cherryhitch/runtime'
 import { Dispatcher } from './dispatch/Dispatcher'
-import type { ServiceLane } from './dispatch/ServiceLane'
+import type { ServicePool } from './dispatch/ServicePool'
 import { EndpointDirectory } from './endpoints/EndpointDirectory'
 import { EndpointProbes } from './endpoints/EndpointProbes'
 import { HandOver } from './handover/HandOver'
@@ -13,9 +13,9 @@
 import { CoordinatorWatch } from './intake/CoordinatorWatch'
 import { Fencing } from './intake/Fencing'
 import { Placement } from './intake/Placement'
-import { NotRunTasks } from './outcomes/NotRunTasks'
-import { RunAnswers } from './outcomes/RunAnswers'
-import { TaskEnds } from './outcomes/TaskEnds'
+import { NotRunHandler } from './outcomes/NotRunHandler'
+import { RunResultHandler } from './outcomes/RunResultHandler'
+import { TaskSettler } from './outcomes/TaskSettler'
 import type { OwnerAction } from './OwnerAction'
 import { OwnerActionKind } from './OwnerAction'
 import { OwnerContext } from './OwnerContext'
@@ -23,11 +23,11 @@
 import type { OwnerEvent, OwnerMessage } from './OwnerEvent'
 import { OwnerEventKind } from './OwnerEvent'
 import type { OwnerMachineOptions } from './OwnerOptions'
-import { LeaseKeeper } from './recovery/LeaseKeeper'
-import { LostTasks } from './recovery/LostTasks'
+import { LeaseManager } from './recovery/LeaseManager'
+import { LostTaskRecovery } from './recovery/LostTaskRecovery'
 import { describeEndpoint } from './views/describeEndpoint'
 import type { EndpointView } from './views/EndpointView'
-import { Summaries } from './views/Summaries'
+import { ServiceSummaries } from './views/ServiceSummaries'
 
 /**
  * State machine of the owner of a zone's endpoints, or of a share of them. It queues tasks, starts
@@ -36,43 +36,43 @@
  *
  * @public
  */
-export class OwnerMachine extends Machine<OwnerEvent, OwnerAction> {
+export class OwnerMachine extends StateMachine<OwnerEvent, OwnerAction> {
   private readonly ctx: OwnerContext
   private readonly dispatcher: Dispatcher
-  private readonly notRun: NotRunTasks
+  private readonly notRun: NotRunHandler
   private readonly probes: EndpointProbes
   private readonly directory: EndpointDirectory
-  private readonly answers: RunAnswers
-  private readonly lost: LostTasks
-  private readonly leases: LeaseKeeper
+  private readonly answers: RunResultHandler
+  private readonly lost: LostTaskRecovery
+  private readonly leases: LeaseManager
   private readonly handOver: HandOver
   private readonly queues: QueueMover
   private readonly placement: Placement
   private readonly cancellation: Cancellation
   private readonly fencing: Fencing
   private readonly coordinators: CoordinatorWatch
-  private readonly serviceSummaries: Summaries
+  private readonly serviceSummaries: ServiceSummaries
   private drained = false
 
   constructor(options: OwnerMachineOptions) {
     super()
     const ctx = new OwnerContext(options)
-    const ends = new TaskEnds(ctx)
+    const ends = new TaskSettler(ctx)
     this.ctx = ctx
     this.dispatcher = new Dispatcher(ctx, ends)
-    this.notRun = new NotRunTasks(ctx, ends, this.dispatcher)
+    this.notRun = new NotRunHandler(ctx, ends, this.dispatcher)
     this.probes = new EndpointProbes(ctx)
     this.directory = new EndpointDirectory(ctx, ends, this.notRun)
-    this.answers = new RunAnswers(ctx, ends, this.notRun, this.probes)
-    this.lost = new LostTasks(ctx, ends, this.notRun, this.dispatcher, this.probes)
-    this.leases = new LeaseKeeper(ctx, ends, this.lost, this.probes)
+    this.answers = new RunResultHandler(ctx, ends, this.notRun, this.probes)
+    this.lost = new LostTaskRecovery(ctx, ends, this.notRun, this.dispatcher, this.probes)
+    this.leases = new LeaseManager(ctx, ends, this.lost, this.probes)
     this.handOver = new HandOver(ctx, this.directory)
     this.queues = new QueueMover(ctx, ends)
     this.placement = new Placement(ctx, ends, this.dispatcher)
     this.cancellation = new Cancellation(ctx, ends)
     this.fencing = new Fencing(ctx)
     this.coordinators = new CoordinatorWatch(ctx, this.cancellation)
-    this.serviceSummaries = new Summaries(ctx)
+    this.serviceSummaries = new ServiceSummaries(ctx)
   }
 
   override step(now: number, event: OwnerEvent): readonly OwnerAction[] {
@@ -83,15 +83,15 @@
   override tick(now: number): readonly OwnerAction[] {
     for (const record of [...this.ctx.endpoints.values()]) {
       this.probes.check(now, record)
-      this.leases.tend(now, record)
+      this.leases.runDueChecks(now, record)
       this.handOver.expireHeldSlots(now, record)
       this.directory.removeIfGone(now, record)
     }
     this.notRun.tick(now)
     this.coordinators.tick(now)
-    for (const pool of [...this.ctx.lanes.values()]) this.tickPool(now, pool)
+    for (const pool of [...this.ctx.pools.values()]) this.tickPool(now, pool)
     this.ctx.memory.expire(now)
-    if (this.serviceSummaries.changedMuch(now)) {
+    if (this.serviceSummaries.hasChangedSignificantly(now)) {
       this.ctx.outbox.push({ kind: OwnerActionKind.SummaryChanged })
     }
     return this.finish(now)
@@ -131,7 +131,7 @@
         this.handleMessage(now, event.from, event.message)
         return
       case OwnerEventKind.RunEnded:
-        this.answers.ended(now, event)
+        this.answers.handleRunEnded(now, event)
         return
       case OwnerEventKind.StopEnded:
       case OwnerEventKind.LeasesRenewed:
@@ -152,11 +152,11 @@
     }
   }
 
-  private tickPool(now: number, pool: ServiceLane): void {
+  private tickPool(now: number, pool: ServicePool): void {
     for (const task of pool.queue.removeExpired(now)) this.dispatcher.expire(now, task)
     pool.countSlots()
     this.ctx.dirtyPools.add(pool)
-    if (pool.isEmpty) this.ctx.lanes.delete(pool.service)
+    if (pool.isEmpty) this.ctx.pools.delete(pool.service)
     const { draining, timing } = this.ctx
     if (draining || pool.endpoints.size === 0 || !pool.hasNoUsableEndpoint(now, timing)) return
     this.queues.refuseAll(now, pool, Reason.NO_ENDPOINT, 'No endpoint of the service is left.')
@@ -193,9 +193,9 @@
     const record = this.ctx.endpoints.get(event.endpoint)
     if (record === undefined) this.ctx.counters.lateAnswers++
     else if (event.kind === OwnerEventKind.StopEnded) {
-      this.lost.stopsEnded(now, record, event.results, event.boot)
+      this.lost.handleStopResults(now, record, event.results, event.boot)
     } else if (event.kind === OwnerEventKind.LeasesRenewed) {
-      this.leases.renewed(now, record, event.known, event.boot)
+      this.leases.handleRenewal(now, record, event.knownTaskIds, event.boot)
     } else this.probes.onProbeEnded(now, record, event.alive)
   }
 
@@ -217,7 +217,7 @@
     this.ctx.draining = true
     this.ctx.ownership.startDraining(now)
     this.handOver.rebalance(now)
-    for (const pool of this.ctx.lanes.values()) this.ctx.dirtyPools.add(pool)
+    for (const pool of this.ctx.pools.values()) this.ctx.dirtyPools.add(pool)
   }
 
   /** Forwards and dispatches queued tasks, and returns all actions of this step. */
--- a/packages/owner/src/lib/OwnerOptions.ts
+++ b/packages/owner/src/lib/OwnerOptions.ts
@@ -19,13 +19,13 @@
   /** How long the answer of a task is still awaited after its endpoint restarted. */
   readonly restartGraceMs: number
   /** Time after which a stop, renewal or probe without a result counts as unanswered. */
-  readonly askTimeoutMs: number
+  readonly controlTimeoutMs: number
   /** Silence of a coordinator after which nobody is assumed to wait for its tasks. */
   readonly coordinatorTimeoutMs: number
   /** How long a new owner waits for the hand-over by a previous owner that is alive. */
   readonly handOverWaitMs: number
   /** Minimum interval between two announcements of changed summaries. */
-  readonly summaryMs: number
+  readonly summaryIntervalMs: number
   /** How long ended, fenced and forwarded tasks are remembered. */
   readonly rememberMs: number
 }
@@ -40,10 +40,10 @@
   leaseSlackMs: 100,
   recheckMs: 500,
   restartGraceMs: 500,
-  askTimeoutMs: 5000,
+  controlTimeoutMs: 5000,
   coordinatorTimeoutMs: 10_000,
   handOverWaitMs: 600,
-  summaryMs: 100,
+  summaryIntervalMs: 100,
   rememberMs: 60_000,
 }
 
--- a/packages/owner/src/lib/client/EndpointClient.test.ts
+++ b/packages/owner/src/lib/client/EndpointClient.test.ts
@@ -186,7 +186,7 @@
     await full
     renew(['c1.1.1.1'])
     const unanswered = await mailbox.next(OwnerEventKind.LeasesRenewed)
-    assert.equal(unanswered.known, undefined)
+    assert.equal(unanswered.knownTaskIds, undefined)
     assert.ok(server.maxOpenConnections <= 6)
     const drained = setInterval(() => {
       for (const answer of waiting.splice(0)) answer()
@@ -210,7 +210,11 @@
   it('emits the running tasks without ids that were not requested', async () => {
     answerWith(200, { running: ['a.1.1.0', 'x.1.1.0'], boot: 3 })
     renew(['a.1.1.0', 'a.1.1.1'])
-    const { known, boot, asked } = await mailbox.next(OwnerEventKind.LeasesRenewed)
+    const {
+      knownTaskIds: known,
+      boot,
+      taskIds: asked,
+    } = await mailbox.next(OwnerEventKind.LeasesRenewed)
     assert.deepEqual([known, boot, asked.length], [['a.1.1.0'], 3, 2])
   })
 
@@ -241,7 +245,7 @@
       first = false
     }
     renew([])
-    assert.deepEqual((await mailbox.next(OwnerEventKind.LeasesRenewed)).known, [])
+    assert.deepEqual((await mailbox.next(OwnerEventKind.LeasesRenewed)).knownTaskIds, [])
     assert.equal(server.connections, 2)
   })
 
@@ -252,7 +256,7 @@
     it(`counts as unanswered with ${name}`, async () => {
       answerWith(status, body)
       renew(['a.1.1.0'])
-      assert.equal((await mailbox.next(OwnerEventKind.LeasesRenewed)).known, undefined)
+      assert.equal((await mailbox.next(OwnerEventKind.LeasesRenewed)).knownTaskIds, undefined)
     })
   }
 
--- a/packages/owner/src/lib/client/EndpointClient.ts
+++ b/packages/owner/src/lib/client/EndpointClient.ts
@@ -219,7 +219,13 @@
       const asked = new Set(taskIds)
       const known = reply?.running.filter((taskId) => asked.has(taskId))
       const boot = reply?.boot
-      this.emit({ kind: OwnerEventKind.LeasesRenewed, endpoint, asked: taskIds, known, boot })
+      this.emit({
+        kind: OwnerEventKind.LeasesRenewed,
+        endpoint,
+        taskIds: taskIds,
+        knownTaskIds: known,
+        boot,
+      })
     })
   }
 
--- a/packages/owner/src/lib/client/EndpointConnections.ts
+++ b/packages/owner/src/lib/client/EndpointConnections.ts
@@ -1,5 +1,5 @@
 import http from 'node:http'
-import { CONTROL_CONNECTIONS } from '../endpoints/connectionShares'
+import { CONTROL_CONNECTIONS } from '../endpoints/controlConnections'
 
 /**
  * Idle connections are closed after this. On a busy endpoint, heartbeats and lease renewals recur
--- a/packages/owner/src/lib/dispatch/Dispatcher.test.ts
+++ b/packages/owner/src/lib/dispatch/Dispatcher.test.ts
@@ -20,7 +20,7 @@
       const runMs = run.endpoint === 'slow' ? 1000 : 100
       owner.end(run, makeResult(RunResultKind.Succeeded, { runMs }))
     }
-    owner.passWithHeartbeats(100, FAST, SLOW)
+    owner.advanceWithHeartbeats(100, FAST, SLOW)
     for (const run of [...owner.openRuns]) owner.end(run, RunResultKind.Succeeded)
   }
   return owner
--- a/packages/owner/src/lib/dispatch/Dispatcher.ts
+++ b/packages/owner/src/lib/dispatch/Dispatcher.ts
@@ -3,15 +3,15 @@
 import { Outcome, Reason } from '@cherryhitch/protocol'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import { EndpointReach } from '../endpoints/EndpointRecord'
-import type { TaskEnds } from '../outcomes/TaskEnds'
-import { countAtJob } from '../outcomes/TaskEnds'
+import type { TaskSettler } from '../outcomes/TaskSettler'
+import { addToJobSpread } from '../outcomes/TaskSettler'
 import { OwnerActionKind } from '../OwnerAction'
 import type { OwnerContext } from '../OwnerContext'
 import { queueSpan, runTraceparent } from '../spans/taskSpans'
 import type { TaskRecord } from '../tasks/TaskRecord'
 import { TaskPhase } from '../tasks/TaskRecord'
 import { NextSlotOutlook } from './NextSlotOutlook'
-import type { ServiceLane } from './ServiceLane'
+import type { ServicePool } from './ServicePool'
 
 /**
  * Maximum number of tasks at the head of a queue that are matched against the open endpoints, so
@@ -30,11 +30,11 @@
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
+    private readonly ends: TaskSettler,
   ) {}
 
   enqueue(now: number, task: TaskRecord): void {
-    const pool = this.ctx.lane(task.service)
+    const pool = this.ctx.poolOf(task.service)
     task.phase = TaskPhase.Queued
     pool.queue.push(now, task)
     this.ctx.dirtyPools.add(pool)
@@ -52,13 +52,13 @@
     if (record === undefined) return
     task.phase = TaskPhase.Running
     task.started = true
-    task.missedAt = undefined
+    task.missingFromRenewalAt = undefined
     this.ctx.counters.joined++
     this.sendRunRequest(now, task, record, true)
     this.ctx.refresh(record)
   }
 
-  private dispatchFrom(now: number, pool: ServiceLane): void {
+  private dispatchFrom(now: number, pool: ServicePool): void {
     if (this.ctx.draining) return
     while (pool.openEndpoints.length > 0 && pool.queue.size > 0) {
       let tries = 0
@@ -88,7 +88,7 @@
 
   private findEndpoint(
     now: number,
-    pool: ServiceLane,
+    pool: ServicePool,
     task: TaskRecord,
   ): EndpointRecord | undefined {
     const candidates = this.candidates
@@ -114,14 +114,14 @@
     if (record.reach !== EndpointReach.Reachable) return false
     if (now < record.backoffUntil || now < record.handOverWaitUntil) return false
     if (record.isSilent(now, this.ctx.timing)) return false
-    if (task.fencedAt.includes(record.endpoint)) return false
+    if (task.fencedEndpoints.includes(record.endpoint)) return false
     if (!record.hasRoomFor(task.resources)) return false
     const state = this.ctx.health.state(now, record.endpoint)
     if (state === HealthState.Probation) return record.running.size === 0
     return state === HealthState.Healthy
   }
 
-  private start(now: number, pool: ServiceLane, task: TaskRecord, record: EndpointRecord): void {
+  private start(now: number, pool: ServicePool, task: TaskRecord, record: EndpointRecord): void {
     const span = queueSpan(now, task)
     if (span !== undefined) this.ctx.outbox.push({ kind: OwnerActionKind.Span, span })
     task.phase = TaskPhase.Running
@@ -129,16 +129,16 @@
     task.endpointBoot = record.boot
     task.dispatchedAt = now
     task.unansweredRenewals = 0
-    task.missedAt = undefined
-    task.doubtedAt = undefined
-    task.vouched = false
-    task.lastChance = undefined
+    task.missingFromRenewalAt = undefined
+    task.missingFromHeartbeatAt = undefined
+    task.confirmedByRenewal = false
+    task.fallbackEnd = undefined
     task.runSpanId = undefined
     record.occupy(task)
-    countAtJob(task, record.endpoint, record.candidate.rack)
+    addToJobSpread(task, record.endpoint, record.candidate.rack)
     this.ctx.counters.dispatched++
     this.sendRunRequest(now, task, record, false)
-    record.due(Math.min(task.deadlineAt, now + this.ctx.timing.leaseMs / 2))
+    record.scheduleCheck(Math.min(task.deadlineAt, now + this.ctx.timing.leaseMs / 2))
     pool.refresh(record)
   }
 
@@ -174,7 +174,7 @@
 /** Whether the endpoint refused the task recently and the service has other endpoints. */
 function isAvoided(
   now: number,
-  pool: ServiceLane,
+  pool: ServicePool,
   task: TaskRecord,
   record: EndpointRecord,
 ): boolean {
@@ -184,14 +184,14 @@
 
 function updateCandidate(
   now: number,
-  pool: ServiceLane,
+  pool: ServicePool,
   record: EndpointRecord,
   task: TaskRecord,
 ): PlacementCandidate {
   const candidate = record.candidate
   candidate.slots = record.slots
   candidate.busySlots = record.busySlots
-  candidate.slowness = pool.pace.slowness(now, record.endpoint)
+  candidate.slowness = pool.runTimes.slowness(now, record.endpoint)
   candidate.sameJobHere = task.job.spread?.atEndpoint(record.endpoint) ?? 0
   candidate.sameJobInRack = task.job.spread?.inRack(record.candidate.rack) ?? 0
   return candidate
--- a/packages/owner/src/lib/dispatch/NextSlotOutlook.ts
+++ b/packages/owner/src/lib/dispatch/NextSlotOutlook.ts
@@ -1,6 +1,6 @@
 import type { PlacementOutlook } from '@cherryhitch/policy'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
-import type { ServiceLane } from './ServiceLane'
+import type { ServicePool } from './ServicePool'
 
 /** Endpoints that are slower than their peers by this factor are not worth waiting for. */
 const STRAGGLER_SLOWNESS = 2
@@ -18,7 +18,7 @@
 export class NextSlotOutlook implements PlacementOutlook {
   constructor(
     private readonly now: number,
-    private readonly pool: ServiceLane,
+    private readonly pool: ServicePool,
     /** Whether there may be open endpoints that are not among the picker's candidates. */
     private readonly hasMoreOpen: boolean,
   ) {}
@@ -36,11 +36,11 @@
   }
 
   private nextSlotMsAt(record: EndpointRecord): number {
-    const slowness = this.pool.pace.slowness(this.now, record.endpoint)
+    const slowness = this.pool.runTimes.slowness(this.now, record.endpoint)
     if (slowness >= STRAGGLER_SLOWNESS) return Infinity
     let soonest = Infinity
     for (const task of record.running.values()) {
-      const expected = task.estimateMs * this.pool.pace.bias * slowness
+      const expected = task.estimateMs * this.pool.runTimes.bias * slowness
       const remaining = expected - (this.now - task.dispatchedAt)
       soonest = Math.min(soonest, Math.max(remaining, MIN_REMAINING_SHARE * expected))
     }
--- a/packages/owner/src/lib/dispatch/ServiceLane.ts
+++ b/packages/owner/src/lib/dispatch/ServicePool.ts
@@ -2,21 +2,21 @@
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import type { OwnerTiming } from '../OwnerOptions'
 import type { TaskRecord } from '../tasks/TaskRecord'
-import { RelativeRunTimes } from './SlownessTracker'
+import { RelativeRunTimes } from './RelativeRunTimes'
 
 /** Weight of the latest run time in the moving average. */
 const EWMA_WEIGHT = 0.05
 
 /** The task queue of one service, and its endpoints that are owned here. @internal */
-export class ServiceLane {
+export class ServicePool {
   readonly endpoints = new Set<EndpointRecord>()
   /** Endpoints with a free slot, in no particular order; dispatch scans only these. */
   readonly openEndpoints: EndpointRecord[] = []
-  readonly pace = new RelativeRunTimes()
+  readonly runTimes = new RelativeRunTimes()
   /** Index in `openEndpoints` at which the latest scan started. */
   cursor = 0
   /** Number of tasks that are known not to have run and wait for their retry delay to pass. */
-  delayed = 0
+  delayedTasks = 0
   private slotTotal = 0
   meanRunMs = 0
 
@@ -26,7 +26,7 @@
   ) {}
 
   get isEmpty(): boolean {
-    return this.endpoints.size === 0 && this.queue.size === 0 && this.delayed === 0
+    return this.endpoints.size === 0 && this.queue.size === 0 && this.delayedTasks === 0
   }
 
   /** Slots of all endpoints that are not leaving, as of the latest `countSlots`. */
@@ -58,7 +58,7 @@
     this.endpoints.delete(record)
     this.countSlots()
     this.removeOpen(record)
-    this.pace.remove(record.endpoint)
+    this.runTimes.remove(record.endpoint)
   }
 
   /** Adds an endpoint to the open ones or removes it, after its free slots changed. */
@@ -73,7 +73,7 @@
   recordRun(now: number, endpoint: string, runMs: number, estimateMs: number): void {
     if (runMs <= 0) return
     this.meanRunMs += (this.meanRunMs === 0 ? 1 : EWMA_WEIGHT) * (runMs - this.meanRunMs)
-    this.pace.observe(now, endpoint, runMs, estimateMs)
+    this.runTimes.observe(now, endpoint, runMs, estimateMs)
   }
 
   /** Predicted wait of a task queued now, in milliseconds, for these usable and free slots. */
@@ -81,7 +81,7 @@
     if (usableSlots === 0) return 0
     if (freeSlots > this.queue.size) return 0
     const untilFirstEnd = this.meanRunMs / usableSlots
-    return untilFirstEnd + (this.queue.queuedWorkMs * this.pace.bias) / usableSlots
+    return untilFirstEnd + (this.queue.queuedWorkMs * this.runTimes.bias) / usableSlots
   }
 
   /** Moves the last open endpoint into the gap, which takes constant time. */
--- a/packages/owner/src/lib/endpoints/EndpointDirectory.test.ts
+++ b/packages/owner/src/lib/endpoints/EndpointDirectory.test.ts
@@ -52,15 +52,15 @@
   it('that stay away for three seconds stop dispatch, even if probes succeed', () => {
     const owner = new OwnerFixture()
     owner.heartbeat()
-    owner.pass(1250)
-    assert.equal(owner.all(OwnerActionKind.Probe).length, 1)
+    owner.advance(1250)
+    assert.equal(owner.actionsOf(OwnerActionKind.Probe).length, 1)
     owner.place([0])
     assert.equal(owner.openRuns.length, 0, 'the probe is not answered yet')
     owner.endProbe(true)
     assert.equal(owner.openRuns.length, 1)
-    owner.pass(1250)
+    owner.advance(1250)
     owner.endProbe(true)
-    owner.pass(600)
+    owner.advance(600)
     owner.place([1])
     assert.equal(owner.openRuns.length, 1)
     assert.equal(owner.reportsOn(1)[0]?.reason, Reason.NO_ENDPOINT)
@@ -75,7 +75,7 @@
     owner.heartbeat()
     owner.place([1])
     assert.equal(owner.openRuns.length, 0)
-    owner.pass(50)
+    owner.advance(50)
     owner.endProbe(true)
     assert.equal(owner.runOf(`${JOB}.1`).endpoint, 'e1')
   })
@@ -99,7 +99,7 @@
       owner.reportsOn().map(({ outcome }) => outcome),
       [Outcome.UNKNOWN],
     )
-    owner.passWithHeartbeats(600, { boot: 2, runningTaskIds: [`${JOB}.2`] })
+    owner.advanceWithHeartbeats(600, { boot: 2, runningTaskIds: [`${JOB}.2`] })
     assert.deepEqual(
       owner.reportsOn(1).map(({ outcome }) => outcome),
       [Outcome.UNKNOWN],
@@ -117,7 +117,7 @@
     owner.place()
     owner.heartbeat({ boot: 2, runningTaskIds: [] })
     owner.end(owner.runOf(), RunResultKind.NotRun)
-    owner.passWithHeartbeats(200, { boot: 2, runningTaskIds: [] })
+    owner.advanceWithHeartbeats(200, { boot: 2, runningTaskIds: [] })
     assert.equal(owner.openRuns.length, 1)
     assert.equal(owner.reportsOn().length, 0)
   })
--- a/packages/owner/src/lib/endpoints/EndpointDirectory.ts
+++ b/packages/owner/src/lib/endpoints/EndpointDirectory.ts
@@ -1,12 +1,12 @@
 import type { EndpointAnnouncement } from '@cherryhitch/protocol'
 import { EndpointState, Outcome, Reason } from '@cherryhitch/protocol'
-import type { NotRunTasks } from '../outcomes/NotRunTasks'
-import type { TaskEnd } from '../outcomes/TaskEnd'
-import type { TaskEnds } from '../outcomes/TaskEnds'
+import type { NotRunHandler } from '../outcomes/NotRunHandler'
+import type { TaskResult } from '../outcomes/TaskResult'
+import type { TaskSettler } from '../outcomes/TaskSettler'
 import type { OwnerContext } from '../OwnerContext'
 import type { TaskRecord } from '../tasks/TaskRecord'
 import { TaskPhase } from '../tasks/TaskRecord'
-import { CROSSING_MS } from '../recovery/crossing'
+import { IN_FLIGHT_GRACE_MS } from '../recovery/inFlightGrace'
 import { EndpointReach, EndpointRecord } from './EndpointRecord'
 
 /** Time within which a request arrives at its endpoint; the next heartbeat lists its task. */
@@ -26,8 +26,8 @@
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
-    private readonly notRun: NotRunTasks,
+    private readonly ends: TaskSettler,
+    private readonly notRun: NotRunHandler,
   ) {}
 
   heartbeat(now: number, announcement: EndpointAnnouncement, forwardedBy?: string): void {
@@ -71,11 +71,11 @@
   /** Stops dispatching to an endpoint. */
   stopOwning(record: EndpointRecord): void {
     this.ctx.health.remove(record.endpoint)
-    const pool = this.ctx.lanes.get(record.service)
+    const pool = this.ctx.pools.get(record.service)
     if (pool === undefined) return
     pool.removeEndpoint(record)
     this.ctx.dirtyPools.add(pool)
-    if (pool.isEmpty) this.ctx.lanes.delete(record.service)
+    if (pool.isEmpty) this.ctx.pools.delete(record.service)
   }
 
   /** Removes an endpoint that runs no task from here and was handed over or silent for long. */
@@ -88,7 +88,7 @@
 
   private startOwning(now: number, record: EndpointRecord): void {
     this.ctx.health.add(record.endpoint, record.service)
-    this.ctx.lane(record.service).addEndpoint(record)
+    this.ctx.poolOf(record.service).addEndpoint(record)
     this.updateHeldSlots(now, record)
     this.ctx.refresh(record)
   }
@@ -117,7 +117,7 @@
     this.stopOwning(record)
     record.service = service
     this.ctx.health.add(record.endpoint, service)
-    this.ctx.lane(service).addEndpoint(record)
+    this.ctx.poolOf(service).addEndpoint(record)
   }
 
   /** A new process runs at the endpoint: the tasks of the previous one ended with it. */
@@ -125,7 +125,7 @@
     this.ctx.counters.endpointRestarts++
     record.boot = record.announcement.boot
     record.leaving = false
-    record.held.clear()
+    record.heldSlots.clear()
     record.backoffUntil = 0
     record.refusals = 0
     const running = new Set(record.announcement.runningTaskIds)
@@ -142,8 +142,8 @@
     }
     // The request may have found the old process gone, which means "not run", or the new one.
     const until = now + this.ctx.timing.restartGraceMs
-    task.lastChance = { until, end: restartedEnd }
-    record.due(until)
+    task.fallbackEnd = { until, end: restartedEnd }
+    record.scheduleCheck(until)
   }
 
   /**
@@ -153,7 +153,7 @@
   private confirmFences(now: number, record: EndpointRecord): void {
     for (const task of [...record.running.values()]) {
       if (task.phase !== TaskPhase.Confirming || now < task.recheckAt) continue
-      if (task.endpointBoot === record.boot) this.notRun.fenced(now, task)
+      if (task.endpointBoot === record.boot) this.notRun.handleFenced(now, task)
     }
   }
 
@@ -167,10 +167,10 @@
     const listed = new Set(record.announcement.runningTaskIds)
     for (const task of record.running.values()) {
       const arrived = now - task.dispatchedAt >= REQUEST_ARRIVAL_MS
-      if (listed.has(task.taskId)) task.doubtedAt = undefined
-      else if (arrived && task.phase === TaskPhase.Running && !task.vouched) {
-        task.doubtedAt ??= now
-        record.due(task.doubtedAt + CROSSING_MS)
+      if (listed.has(task.taskId)) task.missingFromHeartbeatAt = undefined
+      else if (arrived && task.phase === TaskPhase.Running && !task.confirmedByRenewal) {
+        task.missingFromHeartbeatAt ??= now
+        record.scheduleCheck(task.missingFromHeartbeatAt + IN_FLIGHT_GRACE_MS)
       }
     }
   }
@@ -182,12 +182,12 @@
     for (const taskId of running) {
       if (record.running.has(taskId)) continue
       if (this.ctx.memory.get(taskId)?.released === true) continue
-      record.held.set(taskId, { until, listed: true })
+      record.heldSlots.set(taskId, { until, listed: true })
     }
-    if (record.held.size === 0) return
+    if (record.heldSlots.size === 0) return
     const listed = new Set(running)
-    for (const [taskId, slot] of record.held) {
-      if (slot.listed && !listed.has(taskId)) record.held.delete(taskId)
+    for (const [taskId, slot] of record.heldSlots) {
+      if (slot.listed && !listed.has(taskId)) record.heldSlots.delete(taskId)
     }
   }
 
@@ -215,7 +215,7 @@
   }
 }
 
-const restartedEnd: TaskEnd = {
+const restartedEnd: TaskResult = {
   outcome: Outcome.UNKNOWN,
   reason: Reason.ENDPOINT_LOST,
   detail: 'The endpoint restarted before it answered.',
--- a/packages/owner/src/lib/endpoints/EndpointProbes.ts
+++ b/packages/owner/src/lib/endpoints/EndpointProbes.ts
@@ -12,7 +12,7 @@
 
   /** Probes an endpoint that has gone silent, and repeats failed probes. */
   check(now: number, record: EndpointRecord): void {
-    const { askTimeoutMs, suspectAfterMs } = this.ctx.timing
+    const { controlTimeoutMs: askTimeoutMs, suspectAfterMs } = this.ctx.timing
     const sentAt = record.probeSentAt
     if (sentAt !== undefined) {
       if (now - sentAt >= askTimeoutMs) this.onProbeEnded(now, record, false)
@@ -34,7 +34,7 @@
   }
 
   /** Pauses dispatch with growing backoff, after a refusal despite an apparently free slot. */
-  refused(now: number, record: EndpointRecord): void {
+  backOff(now: number, record: EndpointRecord): void {
     const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** record.refusals)
     record.refusals++
     record.backoffUntil = now + backoffMs
@@ -49,7 +49,7 @@
     record.reach = alive ? EndpointReach.Reachable : EndpointReach.Unreachable
     if (alive) {
       record.probedAliveAt = now
-      record.due(now)
+      record.scheduleCheck(now)
     } else record.nextProbeAt = now + this.ctx.timing.recheckMs
     this.ctx.refresh(record)
   }
--- a/packages/owner/src/lib/endpoints/EndpointRecord.ts
+++ b/packages/owner/src/lib/endpoints/EndpointRecord.ts
@@ -3,7 +3,7 @@
 import { EndpointState } from '@cherryhitch/protocol'
 import type { OwnerTiming } from '../OwnerOptions'
 import type { TaskRecord } from '../tasks/TaskRecord'
-import { CONTROL_CONNECTIONS } from './connectionShares'
+import { CONTROL_CONNECTIONS } from './controlConnections'
 
 /** Whether an endpoint can be reached. @public */
 export enum EndpointReach {
@@ -48,7 +48,7 @@
   /** Tasks dispatched from here that may hold a slot. */
   readonly running = new Map<string, TaskRecord>()
   /** Slots held by tasks of other owners, by task id. */
-  readonly held = new Map<string, HeldSlot>()
+  readonly heldSlots = new Map<string, HeldSlot>()
   /** Connections that the previous owner still holds. */
   heldConnections = 0
   heldConnectionsOwner: string | undefined
@@ -59,12 +59,12 @@
   usedAccelerators = 0
   /** Task ids for the next StopTasks; those of the one in flight are in `stopsInFlight`. */
   readonly pendingStops = new Set<string>()
-  stopsAsked: readonly string[] | undefined
-  stopsAskedAt = 0
-  renewAsked: readonly string[] | undefined
-  renewAskedAt = 0
+  stopsInFlight: readonly string[] | undefined
+  stopsSentAt = 0
+  renewalInFlight: readonly string[] | undefined
+  renewalSentAt = 0
   /** Earliest time at which a lease, deadline or query of its tasks needs attention. */
-  dueAt = Infinity
+  nextCheckAt = Infinity
   /** Position in its pool's list of endpoints with a free slot; -1 when it has none. */
   openPosition = -1
   readonly candidate: MutableCandidate
@@ -97,7 +97,7 @@
   }
 
   get busySlots(): number {
-    return this.running.size + this.held.size
+    return this.running.size + this.heldSlots.size
   }
 
   /** Maximum number of connections that this owner may hold. */
@@ -134,7 +134,7 @@
     const capacity = this.announcement.capacity
     if (resources === undefined || capacity === undefined) return true
     // The resources used by other owners' tasks are unknown; each counts as one slot's share.
-    const heldShare = this.held.size / Math.max(1, this.slots)
+    const heldShare = this.heldSlots.size / Math.max(1, this.slots)
     return (
       fits(resources.cores, this.usedCores, capacity.cores, heldShare) &&
       fits(resources.memoryMb, this.usedMemoryMb, capacity.memoryMb, heldShare) &&
@@ -164,8 +164,8 @@
   }
 
   /** Schedules a check of the endpoint at the given time, unless an earlier one is scheduled. */
-  due(at: number): void {
-    if (at < this.dueAt) this.dueAt = at
+  scheduleCheck(at: number): void {
+    if (at < this.nextCheckAt) this.nextCheckAt = at
   }
 
   private addUsage(resources: Resources | undefined, sign: 1 | -1): void {
--- a/packages/owner/src/lib/handover/HandOver.test.ts
+++ b/packages/owner/src/lib/handover/HandOver.test.ts
@@ -96,7 +96,7 @@
 
   it('does not hand over a silent endpoint', () => {
     const owner = makeBusyOwner()
-    owner.pass(3000)
+    owner.advance(3000)
     owner.members(SELF, makeMember(NEXT_OWNER))
     assert.equal(owner.sent('handOverEndpoints').length, 0)
     assert.equal(owner.machine.summaries(owner.now).length, 0)
@@ -118,10 +118,10 @@
     const owner = makeBusyOwner()
     owner.members(SELF, makeMember(NEXT_OWNER))
     owner.end(owner.runOf(), RunResultKind.Lost)
-    owner.pass(50)
+    owner.advance(50)
     owner.endRenewal([])
     owner.endStops(StopState.NeverSeen, 1)
-    owner.pass(100)
+    owner.advance(100)
     assert.deepEqual(
       owner.sent('placeTasks').map(({ to, value }) => [to, value.tasks[0]?.index]),
       [[NEXT_OWNER, 1]],
@@ -158,9 +158,9 @@
     const owner = makeNewOwner()
     handOver(owner, ['c1.1.9.0', 'c1.1.9.1'])
     owner.place([0])
-    owner.passWithHeartbeats(2900, { slots: 2 })
+    owner.advanceWithHeartbeats(2900, { slots: 2 })
     assert.equal(owner.openRuns.length, 0)
-    owner.passWithHeartbeats(300, { slots: 2 })
+    owner.advanceWithHeartbeats(300, { slots: 2 })
     assert.equal(owner.openRuns.length, 1)
   })
 
@@ -169,7 +169,7 @@
     handOver(owner, ['c1.1.9.0', 'c1.1.9.1'])
     owner.place([0])
     const runningTaskIds = ['c1.1.9.0', 'c1.1.9.1']
-    owner.passWithHeartbeats(5000, { slots: 2, runningTaskIds })
+    owner.advanceWithHeartbeats(5000, { slots: 2, runningTaskIds })
     assert.equal(owner.openRuns.length, 0)
     owner.heartbeat({ slots: 2, runningTaskIds: ['c1.1.9.1'] })
     assert.equal(owner.openRuns.length, 1)
@@ -210,7 +210,7 @@
     owner.members(SELF, makeMember(NEXT_OWNER))
     owner.members(SELF, makeMember(NEXT_OWNER, { state: InstanceState.DRAINING }))
     owner.heartbeat({ slots: 4 })
-    owner.passWithHeartbeats(700, { slots: 4 })
+    owner.advanceWithHeartbeats(700, { slots: 4 })
     owner.place([1], { from: NEXT_OWNER })
     assert.equal(owner.runOf(`${JOB}.1`).endpoint, 'e1')
   })
@@ -246,12 +246,12 @@
     owner.place([0, 1])
     owner.step({ kind: OwnerEventKind.Drain })
     assert.equal(owner.sent('placeTasks')[0]?.to, OTHER_OWNER)
-    assert.equal(owner.all(OwnerActionKind.Drained).length, 0)
+    assert.equal(owner.actionsOf(OwnerActionKind.Drained).length, 0)
     assert.deepEqual(owner.machine.summaries(owner.now), [])
     owner.end(owner.runOf(), RunResultKind.Succeeded)
-    assert.equal(owner.all(OwnerActionKind.Drained).length, 1)
-    owner.pass(100)
-    assert.equal(owner.all(OwnerActionKind.Drained).length, 1)
+    assert.equal(owner.actionsOf(OwnerActionKind.Drained).length, 1)
+    owner.advance(100)
+    assert.equal(owner.actionsOf(OwnerActionKind.Drained).length, 1)
   })
 
   it('refuses queued tasks as not run if there is no other owner', () => {
@@ -261,8 +261,8 @@
     owner.place([5])
     assert.equal(owner.reportsOn(5)[0]?.reason, Reason.DRAINING)
     owner.end(owner.runOf(), RunResultKind.Succeeded)
-    assert.equal(owner.all(OwnerActionKind.RunTask).length, 1)
-    assert.equal(owner.all(OwnerActionKind.Drained).length, 1)
+    assert.equal(owner.actionsOf(OwnerActionKind.RunTask).length, 1)
+    assert.equal(owner.actionsOf(OwnerActionKind.Drained).length, 1)
   })
 })
 
--- a/packages/owner/src/lib/handover/HandOver.ts
+++ b/packages/owner/src/lib/handover/HandOver.ts
@@ -6,7 +6,7 @@
 } from '@cherryhitch/protocol'
 import { create } from '@bufbuild/protobuf'
 import { HandedEndpointSchema } from '@cherryhitch/protocol'
-import { CONTROL_CONNECTIONS } from '../endpoints/connectionShares'
+import { CONTROL_CONNECTIONS } from '../endpoints/controlConnections'
 import type { EndpointDirectory } from '../endpoints/EndpointDirectory'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import { OwnerActionKind } from '../OwnerAction'
@@ -67,8 +67,8 @@
       this.ctx.counters.endpointsTakenOver++
       const until = now + this.ctx.timing.leaseMs + this.ctx.timing.leaseSlackMs
       for (const taskId of dispatchedTaskIds) {
-        const listed = record.held.get(taskId)?.listed ?? false
-        if (!record.running.has(taskId)) record.held.set(taskId, { until, listed })
+        const listed = record.heldSlots.get(taskId)?.listed ?? false
+        if (!record.running.has(taskId)) record.heldSlots.set(taskId, { until, listed })
       }
       record.heldConnectionsOwner = connectionsHeld > 0 ? from : undefined
       record.heldConnections = connectionsHeld
@@ -83,7 +83,7 @@
   applyRelease(from: string, release: ReleaseSlots): void {
     const record = this.ctx.endpoints.get(release.endpoint)
     if (record?.owned !== true) return
-    for (const taskId of release.taskIds) record.held.delete(taskId)
+    for (const taskId of release.taskIds) record.heldSlots.delete(taskId)
     if (record.heldConnectionsOwner === from) record.heldConnections = release.connectionsHeld
     this.ctx.refresh(record)
   }
@@ -105,12 +105,12 @@
 
   /** Frees held slots whose task was neither released nor listed again in time. */
   expireHeldSlots(now: number, record: EndpointRecord): void {
-    if (record.held.size === 0 && record.heldConnections === 0) return
-    for (const [taskId, slot] of record.held) {
-      if (slot.until <= now) record.held.delete(taskId)
+    if (record.heldSlots.size === 0 && record.heldConnections === 0) return
+    for (const [taskId, slot] of record.heldSlots) {
+      if (slot.until <= now) record.heldSlots.delete(taskId)
     }
     // Without tasks, the previous owner needs no connections; its release may have been lost.
-    if (record.held.size === 0) record.heldConnections = 0
+    if (record.heldSlots.size === 0) record.heldConnections = 0
     this.ctx.refresh(record)
   }
 
@@ -129,7 +129,7 @@
     this.ctx.outbox.push({ kind: OwnerActionKind.CloseIdle, endpoint })
     return create(HandedEndpointSchema, {
       announcement,
-      dispatchedTaskIds: [...record.running.keys(), ...record.held.keys()],
+      dispatchedTaskIds: [...record.running.keys(), ...record.heldSlots.keys()],
       connectionsHeld: countHeldConnections(record),
     })
   }
--- a/packages/owner/src/lib/handover/QueueMover.ts
+++ b/packages/owner/src/lib/handover/QueueMover.ts
@@ -2,8 +2,8 @@
 import { create } from '@bufbuild/protobuf'
 import type { PlacedTask } from '@cherryhitch/protocol'
 import { Outcome, PlacedTaskSchema, Reason } from '@cherryhitch/protocol'
-import type { ServiceLane } from '../dispatch/ServiceLane'
-import type { TaskEnds } from '../outcomes/TaskEnds'
+import type { ServicePool } from '../dispatch/ServicePool'
+import type { TaskSettler } from '../outcomes/TaskSettler'
 import type { OwnerContext } from '../OwnerContext'
 import type { JobRecord, TaskRecord } from '../tasks/TaskRecord'
 
@@ -18,7 +18,7 @@
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
+    private readonly ends: TaskSettler,
   ) {}
 
   run(now: number): void {
@@ -29,14 +29,14 @@
   }
 
   /** Reports every queued task of a service as not run. */
-  refuseAll(now: number, pool: ServiceLane, reason: Reason, detail: string): void {
+  refuseAll(now: number, pool: ServicePool, reason: Reason, detail: string): void {
     const retryAfterMs = this.ctx.timing.heartbeatMs
     for (const task of takeAll(pool)) {
       this.ends.settle(now, task, { outcome: Outcome.NOT_RUN, reason, detail, retryAfterMs })
     }
   }
 
-  private emptyQueue(now: number, pool: ServiceLane): void {
+  private emptyQueue(now: number, pool: ServicePool): void {
     const targets = this.ctx.successorsOf(pool.service)
     if (targets.length === 0) {
       const reason = this.ctx.draining ? Reason.DRAINING : Reason.NO_ENDPOINT
@@ -47,14 +47,14 @@
       const target = targets[this.nextTarget++ % targets.length]
       if (target !== undefined) this.forward(now, target, job, tasks)
     }
-    if (pool.isEmpty) this.ctx.lanes.delete(pool.service)
+    if (pool.isEmpty) this.ctx.pools.delete(pool.service)
   }
 
   /** Removes the tasks here before sending them, so that only one owner has them queued. */
   private forward(now: number, target: string, job: JobRecord, tasks: readonly TaskRecord[]): void {
     this.ctx.counters.tasksPassedOn += tasks.length
     for (const task of tasks) this.rememberForwarded(now, task, target)
-    this.ctx.memory.rememberPassedJob(now, job.jobId, target)
+    this.ctx.memory.recordPassedOnJob(now, job.jobId, target)
     const deadlineAt = Math.min(...tasks.map((task) => task.deadlineAt))
     this.ctx.outbox.send(target, {
       case: 'placeTasks',
@@ -74,7 +74,7 @@
 
   private rememberForwarded(now: number, task: TaskRecord, target: string): void {
     this.ctx.book.remove(task)
-    this.ctx.memory.remember({
+    this.ctx.memory.record({
       taskId: task.taskId,
       at: now,
       attempt: task.attempt,
@@ -87,7 +87,7 @@
   }
 }
 
-function takeAll(pool: ServiceLane): readonly TaskRecord[] {
+function takeAll(pool: ServicePool): readonly TaskRecord[] {
   const tasks = [...pool.queue.tasks()]
   for (const task of tasks) pool.queue.remove(task.taskId)
   return tasks
--- a/packages/owner/src/lib/intake/Cancellation.ts
+++ b/packages/owner/src/lib/intake/Cancellation.ts
@@ -1,7 +1,7 @@
 import { parseJobId } from '@cherryhitch/model'
 import type { CancelledJob, CancelTasks } from '@cherryhitch/protocol'
 import { Outcome, Reason } from '@cherryhitch/protocol'
-import type { TaskEnds } from '../outcomes/TaskEnds'
+import type { TaskSettler } from '../outcomes/TaskSettler'
 import type { OwnerContext } from '../OwnerContext'
 import type { JobRecord, TaskRecord } from '../tasks/TaskRecord'
 import { TaskPhase } from '../tasks/TaskRecord'
@@ -10,7 +10,7 @@
 export class Cancellation {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
+    private readonly ends: TaskSettler,
   ) {}
 
   cancel(now: number, from: string, cancel: CancelTasks): void {
@@ -39,7 +39,7 @@
 
   private cancelJob(now: number, cancelled: CancelledJob): void {
     const isWholeJob = cancelled.indexes.length === 0
-    if (isWholeJob) this.ctx.memory.rememberCancelledJob(now, cancelled.jobId)
+    if (isWholeJob) this.ctx.memory.recordCancelledJob(now, cancelled.jobId)
     const job = this.ctx.book.job(cancelled.jobId)
     if (job === undefined) return
     const indexes = isWholeJob ? [...job.tasks.keys()] : cancelled.indexes
@@ -50,7 +50,7 @@
   }
 
   private cancelTask(now: number, task: TaskRecord, reason: Reason): void {
-    if (task.muted) return
+    if (task.reportClosed) return
     const waiting = task.phase === TaskPhase.Queued || task.phase === TaskPhase.Delayed
     if (waiting) this.cancelWaiting(now, task, reason)
     else this.cancelRunning(now, task, reason)
@@ -58,18 +58,18 @@
 
   private cancelWaiting(now: number, task: TaskRecord, reason: Reason): void {
     this.ctx.counters.cancelledQueued++
-    const pool = this.ctx.lane(task.service)
-    if (task.phase === TaskPhase.Delayed) pool.delayed--
+    const pool = this.ctx.poolOf(task.service)
+    if (task.phase === TaskPhase.Delayed) pool.delayedTasks--
     else pool.queue.remove(task.taskId)
     const end = { outcome: Outcome.NOT_RUN, reason, detail: 'It was cancelled while queued.' }
-    this.ends.muteAs(now, task, end)
+    this.ends.closeWithoutReport(now, task, end)
     this.ends.settle(now, task, end)
   }
 
   private cancelRunning(now: number, task: TaskRecord, reason: Reason): void {
     this.ctx.counters.cancelledRunning++
     const detail = 'It was cancelled after it was dispatched.'
-    this.ends.muteAs(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
+    this.ends.closeWithoutReport(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
     this.ctx.stop(task)
   }
 }
--- a/packages/owner/src/lib/intake/Fencing.ts
+++ b/packages/owner/src/lib/intake/Fencing.ts
@@ -9,7 +9,7 @@
   TaskReportSchema,
 } from '@cherryhitch/protocol'
 import type { OwnerContext } from '../OwnerContext'
-import type { RememberedTask } from '../tasks/TaskMemory'
+import type { TaskHistoryEntry } from '../tasks/TaskHistory'
 
 /** Reports the state of tasks on request, and fences those that were never seen. @internal */
 export class Fencing {
@@ -43,10 +43,10 @@
   private fenceTask(now: number, requester: string, jobId: string, index: number): FenceState {
     const taskId = formatTaskId(jobId, index)
     const task = this.ctx.book.get(taskId)
-    if (task !== undefined && !task.muted) return FenceState.IN_PROGRESS
+    if (task !== undefined && !task.reportClosed) return FenceState.IN_PROGRESS
     const remembered = this.ctx.memory.get(taskId)
     if (remembered === undefined) {
-      this.ctx.memory.remember(makeFencedTask(now, taskId, requester))
+      this.ctx.memory.record(makeFencedTask(now, taskId, requester))
       return FenceState.NEVER_SEEN
     }
     if (remembered.attempt === Infinity) return FenceState.NEVER_SEEN
@@ -58,7 +58,7 @@
     requester: string,
     jobId: string,
     index: number,
-    remembered: RememberedTask,
+    remembered: TaskHistoryEntry,
   ): void {
     const report =
       remembered.report ??
@@ -72,7 +72,7 @@
   }
 }
 
-function makeFencedTask(now: number, taskId: string, coordinator: string): RememberedTask {
+function makeFencedTask(now: number, taskId: string, coordinator: string): TaskHistoryEntry {
   return {
     taskId,
     at: now,
--- a/packages/owner/src/lib/intake/Placement.ts
+++ b/packages/owner/src/lib/intake/Placement.ts
@@ -3,9 +3,9 @@
 import type { PlacedTask, PlaceTasks } from '@cherryhitch/protocol'
 import { FenceState, Outcome, Reason, TaskSpecSchema } from '@cherryhitch/protocol'
 import type { Dispatcher } from '../dispatch/Dispatcher'
-import type { ServiceLane } from '../dispatch/ServiceLane'
-import type { TaskEnd } from '../outcomes/TaskEnd'
-import type { TaskEnds } from '../outcomes/TaskEnds'
+import type { ServicePool } from '../dispatch/ServicePool'
+import type { TaskResult } from '../outcomes/TaskResult'
+import type { TaskSettler } from '../outcomes/TaskSettler'
 import type { OwnerContext } from '../OwnerContext'
 import type { JobRecord } from '../tasks/TaskRecord'
 import { TaskRecord } from '../tasks/TaskRecord'
@@ -14,7 +14,7 @@
 export class Placement {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
+    private readonly ends: TaskSettler,
     private readonly dispatcher: Dispatcher,
   ) {}
 
@@ -38,7 +38,7 @@
     const deadlineAt = now + placement.deadlineInMs
     const tasks = accepted.map((placed) => makeTask(now, job, placed, deadlineAt))
     this.ctx.counters.placed += tasks.length
-    this.ctx.retries.noteFresh(now, accepted.filter((placed) => placed.attempt === 0).length)
+    this.ctx.retries.recordNewTasks(now, accepted.filter((placed) => placed.attempt === 0).length)
     if (isForwarded) this.reportNewOwner(job, accepted)
     for (const [service, group] of groupBy(tasks, (task) => task.service)) {
       this.enqueueOrRefuse(now, service, group, isForwarded)
@@ -77,14 +77,14 @@
     tasks: readonly TaskRecord[],
     isForwarded: boolean,
   ): void {
-    const pool = this.ctx.lane(service)
+    const pool = this.ctx.poolOf(service)
     const refusal = this.refusalOf(now, pool, tasks, isForwarded)
     for (const task of tasks) {
       const end = refusal ?? refusalOfTask(now, pool, task)
       if (end === undefined) this.enqueue(now, task)
       else this.ends.settle(now, task, end)
     }
-    if (pool.isEmpty) this.ctx.lanes.delete(service)
+    if (pool.isEmpty) this.ctx.pools.delete(service)
   }
 
   private enqueue(now: number, task: TaskRecord): void {
@@ -96,10 +96,10 @@
   /** A batch is refused as a whole: one refused task fails its job anyway. */
   private refusalOf(
     now: number,
-    pool: ServiceLane,
+    pool: ServicePool,
     tasks: readonly TaskRecord[],
     isForwarded: boolean,
-  ): TaskEnd | undefined {
+  ): TaskResult | undefined {
     if (pool.endpoints.size === 0 || this.ctx.draining) {
       // The queue is forwarded to the new owner at the end of the step. Tasks that were forwarded
       // to here are not forwarded again at once, since two owners could repeat that endlessly.
@@ -109,9 +109,9 @@
     return this.refusalByLimits(pool, tasks)
   }
 
-  private refusalByLimits(pool: ServiceLane, tasks: readonly TaskRecord[]): TaskEnd | undefined {
+  private refusalByLimits(pool: ServicePool, tasks: readonly TaskRecord[]): TaskResult | undefined {
     const { queuedTasksPerSlot, callerQueueShare } = this.ctx.preset
-    const waiting = pool.queue.size + pool.delayed
+    const waiting = pool.queue.size + pool.delayedTasks
     const limit = queuedTasksPerSlot * pool.slots
     // An empty queue accepts any job, so that one larger than the limit can run at all.
     if (waiting === 0 || limit === 0) return undefined
@@ -123,7 +123,7 @@
     return refuse(pool, Reason.CALLER_LIMIT, "The caller's share of the queue is used up.")
   }
 
-  private noEndpoint(): TaskEnd {
+  private noEndpoint(): TaskResult {
     return {
       outcome: Outcome.NOT_RUN,
       reason: this.ctx.draining ? Reason.DRAINING : Reason.NO_ENDPOINT,
@@ -133,12 +133,12 @@
   }
 }
 
-function refuse(pool: ServiceLane, reason: Reason, detail: string): TaskEnd {
+function refuse(pool: ServicePool, reason: Reason, detail: string): TaskResult {
   const retryAfterMs = Math.ceil(pool.predictWaitMs(Math.max(1, pool.slots), 0))
   return { outcome: Outcome.NOT_RUN, reason, detail, retryAfterMs }
 }
 
-function refusalOfTask(now: number, pool: ServiceLane, task: TaskRecord): TaskEnd | undefined {
+function refusalOfTask(now: number, pool: ServicePool, task: TaskRecord): TaskResult | undefined {
   if (task.deadlineAt <= now) {
     const detail = 'The deadline passed before the task was queued.'
     return { outcome: Outcome.NOT_RUN, reason: Reason.DEADLINE_PASSED, detail }
--- a/packages/owner/src/lib/intake/intake.test.ts
+++ b/packages/owner/src/lib/intake/intake.test.ts
@@ -36,7 +36,7 @@
     owner.end(owner.runOf(), RunResultKind.Succeeded)
     owner.place([0, 1])
     assert.equal(owner.machine.counters.duplicatePlacements, 4)
-    assert.equal(owner.all(OwnerActionKind.RunTask).length, 2)
+    assert.equal(owner.actionsOf(OwnerActionKind.RunTask).length, 2)
   })
 
   it('of a task that did not run are accepted only as a later attempt', () => {
@@ -114,7 +114,7 @@
     cancel(owner, [JOB])
     owner.endStops(StopState.Stopped)
     assert.deepEqual([owner.reports.size, owner.machine.tasks], [0, 0])
-    assert.equal(owner.all(OwnerActionKind.DropRun).length, 1)
+    assert.equal(owner.actionsOf(OwnerActionKind.DropRun).length, 1)
     owner.place([2])
     assert.equal(owner.openRuns.length, 1, 'a late placement of a cancelled job starts nothing')
   })
@@ -127,7 +127,7 @@
     for (const jobId of jobs) owner.place([0], { jobId })
     owner.actions = []
     cancel(owner, jobs)
-    assert.equal(owner.all(OwnerActionKind.StopTasks).length, 20)
+    assert.equal(owner.actionsOf(OwnerActionKind.StopTasks).length, 20)
     assert.equal(owner.actions.length, 20)
     assert.equal(owner.machine.counters.cancelledQueued, 3000 - 160)
   })
@@ -140,7 +140,7 @@
     owner.endStops(StopState.NoAnswer)
     owner.endProbe(true)
     assert.equal(owner.openRuns.length, 1)
-    owner.passWithHeartbeats(600, { slots: 1 })
+    owner.advanceWithHeartbeats(600, { slots: 1 })
     owner.endStops(StopState.Stopped)
     assert.equal(owner.runOf(`${JOB}.1`).endpoint, 'e1')
     assert.equal(owner.machine.counters.stopMessages, 2)
@@ -154,7 +154,7 @@
     cancel(owner, [JOB], [1, 2])
     owner.end(owner.runOf(`${JOB}.1`), RunResultKind.Succeeded)
     owner.endStops(StopState.Stopped)
-    assert.deepEqual(owner.last(OwnerActionKind.StopTasks).taskIds, [`${JOB}.2`])
+    assert.deepEqual(owner.lastAction(OwnerActionKind.StopTasks).taskIds, [`${JOB}.2`])
     assert.equal(owner.reports.size, 0)
   })
 })
@@ -180,7 +180,7 @@
   it('expire', () => {
     const owner = new OwnerFixture()
     fence(owner, [0])
-    owner.pass(61_000)
+    owner.advance(61_000)
     owner.heartbeat()
     owner.place()
     assert.equal(owner.openRuns.length, 1)
@@ -212,9 +212,9 @@
   function passWithRenewals(owner: OwnerFixture, ms: number): void {
     for (let passed = 0; passed < ms; passed += 500) {
       owner.actions = []
-      owner.passWithHeartbeats(500, { slots: 1 })
-      if (owner.all(OwnerActionKind.StopTasks).length > 0) return
-      if (owner.all(OwnerActionKind.RenewLeases).length > 0) owner.endRenewal([`${JOB}.0`])
+      owner.advanceWithHeartbeats(500, { slots: 1 })
+      if (owner.actionsOf(OwnerActionKind.StopTasks).length > 0) return
+      if (owner.actionsOf(OwnerActionKind.RenewLeases).length > 0) owner.endRenewal([`${JOB}.0`])
     }
   }
 
@@ -236,7 +236,7 @@
       const owner = makeBusyOwner()
       owner.members(SELF, makeMember('c1', { ...SOUTH, ...view }))
       passWithRenewals(owner, ms)
-      assert.deepEqual(owner.last(OwnerActionKind.StopTasks).taskIds, [`${JOB}.0`])
+      assert.deepEqual(owner.lastAction(OwnerActionKind.StopTasks).taskIds, [`${JOB}.0`])
       owner.endStops(StopState.Stopped)
       assert.deepEqual([owner.machine.tasks, owner.reports.size], [0, 0])
       assert.equal(owner.machine.counters.coordinatorsLost, 1)
--- a/packages/owner/src/lib/outcomes/NotRunTasks.ts
+++ b/packages/owner/src/lib/outcomes/NotRunHandler.ts
@@ -5,7 +5,7 @@
 import { DelayedTasks } from '../tasks/DelayedTasks'
 import type { TaskRecord } from '../tasks/TaskRecord'
 import { TaskPhase } from '../tasks/TaskRecord'
-import type { TaskEnds } from './TaskEnds'
+import type { TaskSettler } from './TaskSettler'
 
 /** After a refusal, other endpoints are preferred for the task for this long. */
 const REFUSAL_AVOIDANCE_MS = 1000
@@ -18,12 +18,12 @@
  *
  * @internal
  */
-export class NotRunTasks {
+export class NotRunHandler {
   private readonly delayed = new DelayedTasks()
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
+    private readonly ends: TaskSettler,
     private readonly dispatcher: Dispatcher,
   ) {}
 
@@ -35,9 +35,9 @@
   }
 
   /** The endpoint never received the task, and has fenced its id. */
-  fenced(now: number, task: TaskRecord): void {
+  handleFenced(now: number, task: TaskRecord): void {
     const endpoint = task.endpoint?.endpoint
-    if (endpoint !== undefined) task.fencedAt = [...task.fencedAt, endpoint]
+    if (endpoint !== undefined) task.fencedEndpoints = [...task.fencedEndpoints, endpoint]
     this.retryOrSettle(now, task, 'The request never reached the endpoint.')
   }
 
@@ -46,14 +46,14 @@
     for (;;) {
       const task = this.delayed.popDue(now)
       if (task === undefined) return
-      this.ctx.lane(task.service).delayed--
+      this.ctx.poolOf(task.service).delayedTasks--
       if (task.deadlineAt <= now) this.dispatcher.expire(now, task)
       else this.dispatcher.enqueue(now, task)
     }
   }
 
   private retryOrSettle(now: number, task: TaskRecord, detail: string): void {
-    if (task.muted) {
+    if (task.reportClosed) {
       this.ends.settle(now, task, { outcome: Outcome.NOT_RUN })
       return
     }
@@ -73,9 +73,9 @@
   }
 
   private hasEligibleEndpoint(task: TaskRecord): boolean {
-    if (task.fencedAt.length === 0) return true
-    for (const record of this.ctx.lane(task.service).endpoints) {
-      const fenced = task.fencedAt.includes(record.endpoint)
+    if (task.fencedEndpoints.length === 0) return true
+    for (const record of this.ctx.poolOf(task.service).endpoints) {
+      const fenced = task.fencedEndpoints.includes(record.endpoint)
       if (!fenced && !record.leaving && record.couldHold(task.resources)) return true
     }
     return false
@@ -90,7 +90,7 @@
       return
     }
     task.phase = TaskPhase.Delayed
-    this.ctx.lane(task.service).delayed++
+    this.ctx.poolOf(task.service).delayedTasks++
     this.delayed.push(now + delay, task)
   }
 }
--- a/packages/owner/src/lib/outcomes/RunAnswers.test.ts
+++ b/packages/owner/src/lib/outcomes/RunResultHandler.test.ts
@@ -20,7 +20,7 @@
   const owner = ownerWithRunningTask()
   owner.end(owner.runOf(), RunResultKind.Lost)
   owner.endProbe(true)
-  owner.pass(50)
+  owner.advance(50)
   return owner
 }
 
@@ -57,7 +57,7 @@
     owner.heartbeat({ endpoint: 'e2' })
     const refused = owner.runOf()
     owner.end(refused, RunResultKind.NotRun)
-    owner.passWithHeartbeats(200, { endpoint: 'e1' }, { endpoint: 'e2' })
+    owner.advanceWithHeartbeats(200, { endpoint: 'e1' }, { endpoint: 'e2' })
     assert.equal(owner.openRuns.length, 1)
     assert.notEqual(owner.runOf().endpoint, refused.endpoint)
     assert.equal(owner.runOf().join, false)
@@ -67,7 +67,7 @@
     const owner = ownerWithRunningTask()
     for (let tries = 0; tries < 20 && owner.reportsOn().length === 0; tries++) {
       if (owner.openRuns.length > 0) owner.end(owner.runOf(), RunResultKind.NotRun)
-      owner.passWithHeartbeats(500, {})
+      owner.advanceWithHeartbeats(500, {})
     }
     const [report, ...more] = owner.reportsOn()
     assert.deepEqual([report?.outcome, more.length], [Outcome.NOT_RUN, 0])
@@ -84,7 +84,7 @@
     assert.equal(owner.runOf().endpoint, 'e1')
     owner.end(owner.runOf(), RunResultKind.Succeeded)
     assert.equal(owner.reportsOn()[0]?.outcome, Outcome.SUCCEEDED)
-    assert.equal(owner.all(OwnerActionKind.StopTasks).length, 0)
+    assert.equal(owner.actionsOf(OwnerActionKind.StopTasks).length, 0)
   })
 
   const afterFence = [
@@ -114,10 +114,10 @@
     const owner = ownerWithBrokenRequest()
     owner.heartbeat({ endpoint: 'e2' })
     owner.endRenewal([])
-    assert.deepEqual(owner.last(OwnerActionKind.StopTasks).taskIds, [TASK])
+    assert.deepEqual(owner.lastAction(OwnerActionKind.StopTasks).taskIds, [TASK])
     assert.equal(owner.openRuns.length, 0)
     owner.endStops(StopState.NeverSeen, 1)
-    owner.pass(200)
+    owner.advance(200)
     assert.deepEqual(
       owner.openRuns.map((run) => [run.endpoint, run.join]),
       [['e2', false]],
@@ -142,7 +142,7 @@
       owner.endStops(StopState.NeverSeen)
       owner.heartbeat()
       assert.equal(owner.reportsOn().length, 0, 'a heartbeat sent before the answer proves nothing')
-      owner.pass(150)
+      owner.advance(150)
       owner.heartbeat({ boot })
       assert.deepEqual(
         owner.reportsOn().map((report) => report.outcome),
@@ -169,9 +169,9 @@
     const owner = ownerWithRunningTask()
     owner.end(owner.runOf(), RunResultKind.Lost)
     owner.endProbe(false)
-    owner.pass(2950)
+    owner.advance(2950)
     assert.equal(owner.reportsOn().length, 0)
-    owner.pass(300)
+    owner.advance(300)
     const [report] = owner.reportsOn()
     assert.deepEqual([report?.outcome, report?.reason], [Outcome.UNKNOWN, Reason.ENDPOINT_LOST])
     assert.equal(owner.openRuns.length, 0)
@@ -182,9 +182,9 @@
     owner.endRenewal(undefined)
     owner.endProbe(false)
     const askedAt = owner.now
-    owner.pass(2950)
+    owner.advance(2950)
     assert.equal(owner.reportsOn().length, 0)
-    owner.pass(300)
+    owner.advance(300)
     assert.equal(owner.reportsOn()[0]?.outcome, Outcome.UNKNOWN)
     assert.ok(owner.now - askedAt <= 3250)
   })
@@ -194,10 +194,10 @@
   it('are dropped after the task was retried at another endpoint', () => {
     const owner = ownerWithBrokenRequest()
     owner.heartbeat({ endpoint: 'e2' })
-    const late = { ...owner.all(OwnerActionKind.RunTask)[0] }
+    const late = { ...owner.actionsOf(OwnerActionKind.RunTask)[0] }
     owner.endRenewal([])
     owner.endStops(StopState.NeverSeen, 1)
-    owner.pass(200)
+    owner.advance(200)
     assert.equal(owner.runOf().endpoint, 'e2')
     owner.end(late as ReturnType<OwnerFixture['runOf']>, RunResultKind.Succeeded)
     assert.equal(owner.reportsOn().length, 0)
@@ -217,15 +217,15 @@
       [Outcome.SUCCEEDED],
     )
     assert.equal(owner.machine.counters.lateAnswers, 4)
-    assert.equal(owner.all(OwnerActionKind.RunTask).length, 1)
+    assert.equal(owner.actionsOf(OwnerActionKind.RunTask).length, 1)
   })
 
   it('do not end the task if the first request breaks while a second one is open', () => {
     const owner = ownerWithRunningTask()
     const silent = owner.runOf()
-    owner.passWithHeartbeats(1600, {})
+    owner.advanceWithHeartbeats(1600, {})
     owner.endRenewal([])
-    owner.passWithHeartbeats(250, {})
+    owner.advanceWithHeartbeats(250, {})
     owner.endStops(StopState.Ended, 1)
     const join = owner.runOf()
     assert.equal(join.join, true)
--- a/packages/owner/src/lib/outcomes/RunAnswers.ts
+++ b/packages/owner/src/lib/outcomes/RunResultHandler.ts
@@ -9,8 +9,8 @@
 import type { OwnerContext } from '../OwnerContext'
 import type { TaskRecord } from '../tasks/TaskRecord'
 import { TaskPhase } from '../tasks/TaskRecord'
-import type { NotRunTasks } from './NotRunTasks'
-import type { TaskEnds } from './TaskEnds'
+import type { NotRunHandler } from './NotRunHandler'
+import type { TaskSettler } from './TaskSettler'
 
 /** The end of one run request, as the event reports it. @internal */
 export interface RunCompletion {
@@ -21,15 +21,15 @@
 }
 
 /** Applies the result of a run request to its task and its endpoint. @internal */
-export class RunAnswers {
+export class RunResultHandler {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
-    private readonly notRun: NotRunTasks,
+    private readonly ends: TaskSettler,
+    private readonly notRun: NotRunHandler,
     private readonly probes: EndpointProbes,
   ) {}
 
-  ended(now: number, end: RunCompletion): void {
+  handleRunEnded(now: number, end: RunCompletion): void {
     const record = this.ctx.endpoints.get(end.endpoint)
     if (record?.openRuns.delete(end.run) === true) this.ctx.refresh(record)
     const task = this.ctx.book.get(end.taskId)
@@ -57,7 +57,7 @@
         this.handleRefusal(now, record, task, result)
         return
       case RunResultKind.Unknown:
-        if (!task.muted)
+        if (!task.reportClosed)
           this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.Lost)
         this.settleUnknown(now, task, result.detail)
         return
@@ -77,8 +77,8 @@
   ): void {
     record.refusals = 0
     this.ctx.health.recordSuccess(now, toObservation(record, task), result.runMs)
-    const lane = this.ctx.lanes.get(task.service)
-    lane?.recordRun(now, record.endpoint, result.runMs, task.estimateMs)
+    const pool = this.ctx.pools.get(task.service)
+    pool?.recordRun(now, record.endpoint, result.runMs, task.estimateMs)
     const { output, runMs } = result
     this.ends.settle(now, task, { outcome: Outcome.SUCCEEDED, output, runMs })
   }
@@ -107,13 +107,13 @@
   ): void {
     if (task.requests.length > 0) return
     this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.Refused)
-    this.probes.refused(now, record)
+    this.probes.backOff(now, record)
     if (!result.answered) this.probes.suspect(now, record)
     // The endpoint knew the task before, so a refusal does not prove that the task did not run.
     if (task.started) this.settleUnknown(now, task, result.detail)
     else if (task.phase === TaskPhase.Running) this.notRun.handleRefusal(now, task, result.detail)
     // A fence request may already have reached this endpoint, so the id can't be used there again.
-    else this.notRun.fenced(now, task)
+    else this.notRun.handleFenced(now, task)
   }
 
   private settleUnknown(now: number, task: TaskRecord, detail: string): void {
@@ -124,17 +124,17 @@
   /** The request broke without an answer: the endpoint is queried before the task is settled. */
   private handleLost(now: number, record: EndpointRecord, task: TaskRecord): void {
     if (task.requests.length > 0) return
-    if (!task.muted)
+    if (!task.reportClosed)
       this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.Lost)
     this.probes.suspect(now, record)
-    if (task.lastChance !== undefined) {
-      this.ends.settle(now, task, task.lastChance.end)
+    if (task.fallbackEnd !== undefined) {
+      this.ends.settle(now, task, task.fallbackEnd.end)
       return
     }
     if (task.phase !== TaskPhase.Running) return
     task.phase = TaskPhase.Checking
     task.recheckAt = now
-    record.due(now)
+    record.scheduleCheck(now)
   }
 }
 
--- a/packages/owner/src/lib/outcomes/TaskEnd.ts
+++ b/packages/owner/src/lib/outcomes/TaskResult.ts
@@ -1,7 +1,7 @@
 import type { Outcome, Reason } from '@cherryhitch/protocol'
 
 /** How a task ended at this owner. @internal */
-export interface TaskEnd {
+export interface TaskResult {
   readonly outcome: Outcome
   readonly reason?: Reason
   readonly output?: string
--- a/packages/owner/src/lib/outcomes/TaskEnds.ts
+++ b/packages/owner/src/lib/outcomes/TaskSettler.ts
@@ -6,20 +6,20 @@
 import { runSpan } from '../spans/taskSpans'
 import { JobSpread } from '../tasks/JobSpread'
 import type { TaskRecord } from '../tasks/TaskRecord'
-import type { TaskEnd } from './TaskEnd'
+import type { TaskResult } from './TaskResult'
 
 /** Settles tasks: sends the report, records the end, frees the slot, updates counters. @internal */
-export class TaskEnds {
+export class TaskSettler {
   constructor(private readonly ctx: OwnerContext) {}
 
   /** Ends a task: reports it, unless its report is closed, and frees what it holds. */
-  settle(now: number, task: TaskRecord, end: TaskEnd): void {
-    if (!task.muted) this.report(now, task, end)
+  settle(now: number, task: TaskRecord, end: TaskResult): void {
+    if (!task.reportClosed) this.report(now, task, end)
     this.removeTask(now, task, end)
   }
 
   /** Reports a task that still occupies its slot, until it is stopped or its lease expires. */
-  report(now: number, task: TaskRecord, end: TaskEnd): void {
+  report(now: number, task: TaskRecord, end: TaskResult): void {
     const report = makeReport(now, task, end)
     this.closeReport(now, task, end, report)
     this.ctx.outbox.report(task.job.coordinator, task.jobId, report)
@@ -27,7 +27,7 @@
   }
 
   /** Ends a task without sending a report; the report is kept in case it is requested later. */
-  muteAs(now: number, task: TaskRecord, end: TaskEnd): void {
+  closeWithoutReport(now: number, task: TaskRecord, end: TaskResult): void {
     this.closeReport(now, task, end, makeReport(now, task, end))
   }
 
@@ -46,7 +46,7 @@
     this.ctx.refresh(record)
   }
 
-  private removeTask(now: number, task: TaskRecord, end: TaskEnd): void {
+  private removeTask(now: number, task: TaskRecord, end: TaskResult): void {
     const record = task.endpoint
     this.release(now, task, end.outcome === Outcome.SUCCEEDED)
     this.ctx.book.remove(task)
@@ -55,10 +55,10 @@
     if (entry !== undefined) entry.released = end.released ?? true
   }
 
-  private closeReport(now: number, task: TaskRecord, end: TaskEnd, report: TaskReport): void {
-    task.muted = true
+  private closeReport(now: number, task: TaskRecord, end: TaskResult, report: TaskReport): void {
+    task.reportClosed = true
     this.updateJobProgress(task, end)
-    this.ctx.memory.remember({
+    this.ctx.memory.record({
       taskId: task.taskId,
       at: now,
       attempt: task.attempt,
@@ -71,11 +71,11 @@
   }
 
   /** Updates the job's remaining tasks, as the queue prefers jobs that are nearly complete. */
-  private updateJobProgress(task: TaskRecord, end: TaskEnd): void {
+  private updateJobProgress(task: TaskRecord, end: TaskResult): void {
     const job = task.job
     if (end.outcome !== Outcome.SUCCEEDED || job.remaining <= 1) return
     job.remaining--
-    this.ctx.lanes.get(task.service)?.queue.noteProgress(job.jobId, job.remaining)
+    this.ctx.pools.get(task.service)?.queue.noteProgress(job.jobId, job.remaining)
   }
 
   private dropRun(task: TaskRecord, run: number): void {
@@ -99,7 +99,7 @@
   }
 }
 
-function makeReport(now: number, task: TaskRecord, end: TaskEnd): TaskReport {
+function makeReport(now: number, task: TaskRecord, end: TaskResult): TaskReport {
   const record = task.endpoint
   const startedAt = record === undefined ? now : task.dispatchedAt
   return create(TaskReportSchema, {
@@ -117,7 +117,7 @@
 }
 
 /** Counts a running task towards its job's spread, if the job has several left. @internal */
-export function countAtJob(task: TaskRecord, endpoint: string, rack: string): void {
+export function addToJobSpread(task: TaskRecord, endpoint: string, rack: string): void {
   const { job } = task
   if (job.remaining <= 1) return
   job.spread ??= new JobSpread()
--- a/packages/owner/src/lib/recovery/LeaseKeeper.test.ts
+++ b/packages/owner/src/lib/recovery/LeaseManager.test.ts
@@ -15,19 +15,19 @@
 describe('leases', () => {
   it('need no renewal for short tasks', () => {
     const owner = ownerWithRunningTasks([0, 1])
-    owner.passWithHeartbeats(1400, {})
+    owner.advanceWithHeartbeats(1400, {})
     owner.end(owner.runOf(), RunResultKind.Succeeded)
     owner.end(owner.runOf(`${JOB}.1`), RunResultKind.Succeeded)
-    owner.passWithHeartbeats(3000, {})
+    owner.advanceWithHeartbeats(3000, {})
     assert.equal(owner.machine.counters.renewMessages, 0)
   })
 
   it('of long tasks are renewed in one message per endpoint', () => {
     const owner = ownerWithRunningTasks([0, 1, 2])
-    owner.passWithHeartbeats(700, {})
+    owner.advanceWithHeartbeats(700, {})
     owner.place([0], { jobId: 'c1.1.2' })
-    owner.passWithHeartbeats(900, {})
-    const [renewal, ...more] = owner.all(OwnerActionKind.RenewLeases)
+    owner.advanceWithHeartbeats(900, {})
+    const [renewal, ...more] = owner.actionsOf(OwnerActionKind.RenewLeases)
     assert.equal(more.length, 0)
     const young = renewal?.taskIds.filter((taskId) => !taskId.startsWith(JOB))
     assert.deepEqual([renewal?.taskIds.length, young], [3, []])
@@ -37,7 +37,7 @@
     const owner = ownerWithRunningTasks()
     for (let i = 0; i < 10; i++) {
       owner.actions = []
-      owner.passWithHeartbeats(1600, {})
+      owner.advanceWithHeartbeats(1600, {})
       owner.endRenewal([`${JOB}.0`])
     }
     assert.equal(owner.reportsOn().length, 0)
@@ -49,14 +49,18 @@
     const owner = ownerWithRunningTasks()
     owner.heartbeat({ endpoint: 'e2' })
     const silent = owner.runOf()
-    owner.passWithHeartbeats(1600, {}, { endpoint: 'e2' })
+    owner.advanceWithHeartbeats(1600, {}, { endpoint: 'e2' })
     owner.endRenewal([])
-    assert.equal(owner.all(OwnerActionKind.StopTasks).length, 0, 'the answer may be in flight')
-    owner.passWithHeartbeats(250, {}, { endpoint: 'e2' })
+    assert.equal(
+      owner.actionsOf(OwnerActionKind.StopTasks).length,
+      0,
+      'the answer may be in flight',
+    )
+    owner.advanceWithHeartbeats(250, {}, { endpoint: 'e2' })
     owner.endStops(StopState.NeverSeen, 1)
-    owner.passWithHeartbeats(100, {}, { endpoint: 'e2' })
+    owner.advanceWithHeartbeats(100, {}, { endpoint: 'e2' })
     assert.equal(owner.runOf().endpoint, 'e2')
-    assert.equal(owner.last(OwnerActionKind.DropRun).run, silent.run)
+    assert.equal(owner.lastAction(OwnerActionKind.DropRun).run, silent.run)
   })
 
   it('are renewed early when a heartbeat does not list a task', () => {
@@ -65,34 +69,38 @@
     const missing = owner.openRuns.find((run) => run.endpoint === 'e1')
     const others = owner.openRuns.filter((run) => run !== missing)
     const runningTaskIds = others.map((run) => run.taskId)
-    owner.pass(400)
+    owner.advance(400)
     owner.heartbeat({ runningTaskIds })
-    owner.pass(150)
-    assert.equal(owner.all(OwnerActionKind.RenewLeases).length, 0, 'its answer may be in flight')
-    owner.pass(100)
-    assert.deepEqual(owner.last(OwnerActionKind.RenewLeases).taskIds, [missing?.taskId])
+    owner.advance(150)
+    assert.equal(
+      owner.actionsOf(OwnerActionKind.RenewLeases).length,
+      0,
+      'its answer may be in flight',
+    )
+    owner.advance(100)
+    assert.deepEqual(owner.lastAction(OwnerActionKind.RenewLeases).taskIds, [missing?.taskId])
     owner.endRenewal([])
     owner.endStops(StopState.Ended, 1)
     assert.equal(owner.runOf(missing?.taskId).join, true)
-    assert.equal(owner.all(OwnerActionKind.CloseIdle).length, 1)
+    assert.equal(owner.actionsOf(OwnerActionKind.CloseIdle).length, 1)
   })
 
   it('that are renewed take precedence over heartbeat lists', () => {
     const owner = ownerWithRunningTasks()
-    owner.pass(400)
+    owner.advance(400)
     owner.heartbeat({ runningTaskIds: [] })
-    owner.pass(250)
+    owner.advance(250)
     owner.endRenewal([`${JOB}.0`])
-    owner.passWithHeartbeats(1200, { runningTaskIds: [] })
+    owner.advanceWithHeartbeats(1200, { runningTaskIds: [] })
     assert.equal(owner.machine.counters.renewMessages, 1)
   })
 
   it('are not renewed again once the answer arrived', () => {
     const owner = ownerWithRunningTasks()
-    owner.passWithHeartbeats(1600, {})
+    owner.advanceWithHeartbeats(1600, {})
     owner.endRenewal([])
     owner.end(owner.runOf(), RunResultKind.Succeeded)
-    owner.passWithHeartbeats(1000, {})
+    owner.advanceWithHeartbeats(1000, {})
     assert.equal(owner.machine.counters.stopMessages, 0)
     assert.equal(owner.reportsOn()[0]?.outcome, Outcome.SUCCEEDED)
   })
@@ -103,12 +111,12 @@
     owner.place([0, 1])
     owner.end(owner.runOf(), RunResultKind.Lost)
     owner.endProbe(true)
-    owner.pass(50)
+    owner.advance(50)
     owner.endRenewal(undefined)
     owner.endProbe(true)
     for (let passed = 0; passed < 2900; passed += 100) {
-      owner.passWithHeartbeats(100, { slots: 1 })
-      if (owner.all(OwnerActionKind.RenewLeases).length > 1) owner.endRenewal(undefined)
+      owner.advanceWithHeartbeats(100, { slots: 1 })
+      if (owner.actionsOf(OwnerActionKind.RenewLeases).length > 1) owner.endRenewal(undefined)
     }
     assert.equal(owner.openRuns.length, 0)
   })
@@ -119,7 +127,7 @@
     const owner = new OwnerFixture()
     owner.heartbeat({ slots: 1 })
     owner.place([0, 1], { deadlineInMs: 400 })
-    owner.pass(450)
+    owner.advance(450)
     const [report] = owner.reportsOn(1)
     assert.deepEqual([report?.outcome, report?.reason], [Outcome.NOT_RUN, Reason.DEADLINE_PASSED])
   })
@@ -140,8 +148,8 @@
   for (const { state, outcome } of ends) {
     it(`stops a running task and reports the outcome of the answer ${state}`, () => {
       const owner = ownerWithRunningTasks([0, 1], 400)
-      owner.pass(450)
-      assert.equal(owner.all(OwnerActionKind.StopTasks).length, 1)
+      owner.advance(450)
+      assert.equal(owner.actionsOf(OwnerActionKind.StopTasks).length, 1)
       owner.endStops(state, 1)
       const [report, ...more] = owner.reportsOn()
       assert.deepEqual(
@@ -153,7 +161,7 @@
 
   it('is the reason when the request of the stopped task fails first', () => {
     const owner = ownerWithRunningTasks([0], 400)
-    owner.pass(450)
+    owner.advance(450)
     owner.end(owner.runOf(), RunResultKind.Failed)
     const [report] = owner.reportsOn()
     assert.deepEqual([report?.outcome, report?.reason], [Outcome.FAILED, Reason.DEADLINE_PASSED])
@@ -161,7 +169,7 @@
 
   it('still accepts the answer of a task that ended before it was stopped', () => {
     const owner = ownerWithRunningTasks([0], 400)
-    owner.pass(450)
+    owner.advance(450)
     owner.endStops(StopState.Ended, 1)
     owner.end(owner.runOf(), RunResultKind.Succeeded)
     assert.equal(owner.reportsOn()[0]?.outcome, Outcome.SUCCEEDED)
--- a/packages/owner/src/lib/recovery/LeaseKeeper.ts
+++ b/packages/owner/src/lib/recovery/LeaseManager.ts
@@ -2,53 +2,53 @@
 import type { EndpointProbes } from '../endpoints/EndpointProbes'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import { EndpointReach } from '../endpoints/EndpointRecord'
-import type { TaskEnds } from '../outcomes/TaskEnds'
+import type { TaskSettler } from '../outcomes/TaskSettler'
 import { OwnerActionKind } from '../OwnerAction'
 import type { OwnerContext } from '../OwnerContext'
 import type { TaskRecord } from '../tasks/TaskRecord'
 import { TaskPhase } from '../tasks/TaskRecord'
-import { CROSSING_MS } from './crossing'
-import type { LostTasks } from './LostTasks'
+import { IN_FLIGHT_GRACE_MS } from './inFlightGrace'
+import type { LostTaskRecovery } from './LostTaskRecovery'
 
 /** After this many unanswered renewals in a row, the lease of a task is left to expire. */
 const MAX_UNANSWERED_RENEWALS = 3
 
 /** Renews leases of long-running tasks, and ends tasks at lease expiry or deadline. @internal */
-export class LeaseKeeper {
+export class LeaseManager {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
-    private readonly lost: LostTasks,
+    private readonly ends: TaskSettler,
+    private readonly lost: LostTaskRecovery,
     private readonly probes: EndpointProbes,
   ) {}
 
   /** Runs the checks that are due at one endpoint. It has at most one running task per slot. */
-  tend(now: number, record: EndpointRecord): void {
-    if (now < record.dueAt) return
-    record.dueAt = Infinity
+  runDueChecks(now: number, record: EndpointRecord): void {
+    if (now < record.nextCheckAt) return
+    record.nextCheckAt = Infinity
     this.timeOutPendingRequests(now, record)
     for (const task of [...record.running.values()]) this.checkTask(now, task)
     this.renew(now, record)
-    for (const task of record.running.values()) record.due(this.nextCheckAt(now, task))
-    if (record.renewAsked !== undefined || record.stopsAsked !== undefined) {
-      record.due(now + this.ctx.timing.recheckMs)
+    for (const task of record.running.values()) record.scheduleCheck(this.nextCheckAt(now, task))
+    if (record.renewalInFlight !== undefined || record.stopsInFlight !== undefined) {
+      record.scheduleCheck(now + this.ctx.timing.recheckMs)
     }
   }
 
   /** Handles the answer to RenewLeases; `known` is undefined if the endpoint did not answer. */
-  renewed(
+  handleRenewal(
     now: number,
     record: EndpointRecord,
     known: readonly string[] | undefined,
     boot: number | undefined,
   ): void {
-    const asked = record.renewAsked
+    const asked = record.renewalInFlight
     if (asked === undefined) {
       this.ctx.counters.lateAnswers++
       return
     }
-    record.renewAsked = undefined
-    record.due(now)
+    record.renewalInFlight = undefined
+    record.scheduleCheck(now)
     if (known === undefined) this.probes.suspect(now, record)
     const running = new Set(known)
     for (const taskId of asked) {
@@ -62,16 +62,16 @@
 
   private recordUnansweredRenewal(now: number, record: EndpointRecord, task: TaskRecord): void {
     // The renewal may have arrived, so the lease is counted from when it was sent.
-    task.leasedAt = record.renewAskedAt
+    task.leasedAt = record.renewalSentAt
     task.unansweredRenewals++
     task.recheckAt = now + this.ctx.timing.recheckMs
   }
 
   private checkTask(now: number, task: TaskRecord): void {
-    const fallback = task.lastChance
+    const fallback = task.fallbackEnd
     if (fallback !== undefined && now >= fallback.until) this.ends.settle(now, task, fallback.end)
     else if (now >= this.ctx.leaseEnd(task)) this.expireLease(now, task)
-    else if (now >= task.deadlineAt && !task.muted) this.stopAtDeadline(task)
+    else if (now >= task.deadlineAt && !task.reportClosed) this.stopAtDeadline(task)
     else this.lost.checkTask(now, task)
   }
 
@@ -89,7 +89,7 @@
   private stopAtDeadline(task: TaskRecord): void {
     // A fence also stops the task at its endpoint, so no separate stop is needed.
     const open = task.phase === TaskPhase.Running || task.phase === TaskPhase.Checking
-    if (!open || task.lastChance !== undefined) return
+    if (!open || task.fallbackEnd !== undefined) return
     this.ctx.counters.expiredRunning++
     this.ctx.stop(task)
   }
@@ -99,7 +99,7 @@
    * immediate check, and then includes all tasks past a third of their lease.
    */
   private renew(now: number, record: EndpointRecord): void {
-    if (record.renewAsked !== undefined || record.reach === EndpointReach.Unreachable) return
+    if (record.renewalInFlight !== undefined || record.reach === EndpointReach.Unreachable) return
     const { leaseMs } = this.ctx.timing
     const wanted = [...record.running.values()].filter((task) => this.isRenewable(now, task))
     if (
@@ -110,16 +110,16 @@
       (task) => needsImmediateCheck(now, task) || now - task.leasedAt >= leaseMs / 3,
     )
     const taskIds = old.map((task) => task.taskId)
-    record.renewAsked = taskIds
-    record.renewAskedAt = now
+    record.renewalInFlight = taskIds
+    record.renewalSentAt = now
     this.ctx.counters.renewMessages++
     const { endpoint, address } = record
     this.ctx.outbox.push({ kind: OwnerActionKind.RenewLeases, endpoint, address, taskIds, leaseMs })
   }
 
   private isRenewable(now: number, task: TaskRecord): boolean {
-    if (task.muted || now < task.recheckAt) return false
-    if (task.unansweredRenewals >= MAX_UNANSWERED_RENEWALS || task.lastChance !== undefined)
+    if (task.reportClosed || now < task.recheckAt) return false
+    if (task.unansweredRenewals >= MAX_UNANSWERED_RENEWALS || task.fallbackEnd !== undefined)
       return false
     return task.phase === TaskPhase.Running || task.phase === TaskPhase.Checking
   }
@@ -127,10 +127,11 @@
   private nextCheckAt(now: number, task: TaskRecord): number {
     const { leaseMs } = this.ctx.timing
     let at = this.ctx.leaseEnd(task)
-    if (task.lastChance !== undefined) at = Math.min(at, task.lastChance.until)
-    if (!task.muted && task.deadlineAt > now) at = Math.min(at, task.deadlineAt)
+    if (task.fallbackEnd !== undefined) at = Math.min(at, task.fallbackEnd.until)
+    if (!task.reportClosed && task.deadlineAt > now) at = Math.min(at, task.deadlineAt)
     let renewAt = task.leasedAt + leaseMs / 2
-    if (task.doubtedAt !== undefined) renewAt = Math.min(renewAt, task.doubtedAt + CROSSING_MS)
+    if (task.missingFromHeartbeatAt !== undefined)
+      renewAt = Math.min(renewAt, task.missingFromHeartbeatAt + IN_FLIGHT_GRACE_MS)
     renewAt = Math.max(renewAt, task.recheckAt)
     if (task.phase === TaskPhase.Running) return Math.min(at, renewAt)
     return Math.min(at, Math.max(task.recheckAt, now))
@@ -138,12 +139,12 @@
 
   /** Treats requests without an answer event as failed, so that they can't block the endpoint. */
   private timeOutPendingRequests(now: number, record: EndpointRecord): void {
-    const { askTimeoutMs } = this.ctx.timing
-    if (record.renewAsked !== undefined && now - record.renewAskedAt >= askTimeoutMs) {
-      this.renewed(now, record, undefined, undefined)
+    const { controlTimeoutMs: askTimeoutMs } = this.ctx.timing
+    if (record.renewalInFlight !== undefined && now - record.renewalSentAt >= askTimeoutMs) {
+      this.handleRenewal(now, record, undefined, undefined)
     }
-    if (record.stopsAsked !== undefined && now - record.stopsAskedAt >= askTimeoutMs) {
-      this.lost.stopsEnded(now, record, [], undefined)
+    if (record.stopsInFlight !== undefined && now - record.stopsSentAt >= askTimeoutMs) {
+      this.lost.handleStopResults(now, record, [], undefined)
     }
   }
 }
@@ -151,5 +152,8 @@
 /** Whether the endpoint must be asked at once whether the task runs. */
 function needsImmediateCheck(now: number, task: TaskRecord): boolean {
   if (task.phase === TaskPhase.Checking) return true
-  return task.doubtedAt !== undefined && now - task.doubtedAt >= CROSSING_MS
+  return (
+    task.missingFromHeartbeatAt !== undefined &&
+    now - task.missingFromHeartbeatAt >= IN_FLIGHT_GRACE_MS
+  )
 }
--- a/packages/owner/src/lib/recovery/LostTasks.ts
+++ b/packages/owner/src/lib/recovery/LostTaskRecovery.ts
@@ -5,13 +5,13 @@
 import { StopState } from '../endpointResults'
 import type { EndpointProbes } from '../endpoints/EndpointProbes'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
-import type { NotRunTasks } from '../outcomes/NotRunTasks'
-import type { TaskEnd } from '../outcomes/TaskEnd'
-import type { TaskEnds } from '../outcomes/TaskEnds'
+import type { NotRunHandler } from '../outcomes/NotRunHandler'
+import type { TaskResult } from '../outcomes/TaskResult'
+import type { TaskSettler } from '../outcomes/TaskSettler'
 import { OwnerActionKind } from '../OwnerAction'
 import type { OwnerContext } from '../OwnerContext'
 import type { TaskRecord } from '../tasks/TaskRecord'
-import { CROSSING_MS } from './crossing'
+import { IN_FLIGHT_GRACE_MS } from './inFlightGrace'
 import { TaskPhase } from '../tasks/TaskRecord'
 
 /** Heartbeats within this time after a fence may predate it, and do not confirm it. */
@@ -27,11 +27,11 @@
  *
  * @internal
  */
-export class LostTasks {
+export class LostTaskRecovery {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskEnds,
-    private readonly notRun: NotRunTasks,
+    private readonly ends: TaskSettler,
+    private readonly notRun: NotRunHandler,
     private readonly dispatcher: Dispatcher,
     private readonly probes: EndpointProbes,
   ) {}
@@ -43,11 +43,11 @@
     task: TaskRecord,
     boot: number | undefined,
   ): void {
-    task.leasedAt = record.renewAskedAt
+    task.leasedAt = record.renewalSentAt
     task.unansweredRenewals = 0
-    task.missedAt = undefined
-    task.doubtedAt = undefined
-    task.vouched = true
+    task.missingFromRenewalAt = undefined
+    task.missingFromHeartbeatAt = undefined
+    task.confirmedByRenewal = true
     task.recheckAt = 0
     if (boot !== undefined) task.endpointBoot = boot
     if (task.phase === TaskPhase.Checking) this.dispatcher.join(now, task)
@@ -56,55 +56,57 @@
   /** The endpoint answered the renewal without listing the task as running. */
   handleNotRunning(now: number, task: TaskRecord): void {
     task.unansweredRenewals = 0
-    const unlisted = task.doubtedAt !== undefined && now - task.doubtedAt >= CROSSING_MS
+    const unlisted =
+      task.missingFromHeartbeatAt !== undefined &&
+      now - task.missingFromHeartbeatAt >= IN_FLIGHT_GRACE_MS
     if (task.phase === TaskPhase.Checking) this.fence(task)
     else if (task.phase === TaskPhase.Running && unlisted) this.fence(task)
     else if (task.phase === TaskPhase.Running) {
-      task.missedAt ??= now
-      task.recheckAt = now + CROSSING_MS
-      task.endpoint?.due(task.recheckAt)
+      task.missingFromRenewalAt ??= now
+      task.recheckAt = now + IN_FLIGHT_GRACE_MS
+      task.endpoint?.scheduleCheck(task.recheckAt)
     }
   }
 
   /** Sends the next fence or stop request for a task if it is due. */
   checkTask(now: number, task: TaskRecord): void {
     if (now < task.recheckAt) return
-    const notRunning = task.phase === TaskPhase.Running && task.missedAt !== undefined
+    const notRunning = task.phase === TaskPhase.Running && task.missingFromRenewalAt !== undefined
     if (notRunning) this.fence(task)
     else if (task.phase === TaskPhase.Fencing || task.phase === TaskPhase.Stopping) {
-      this.ctx.askToStop(task)
+      this.ctx.requestStop(task)
     }
   }
 
   /** Sends pending stop requests. Each endpoint has one open message; later ids wait for it. */
   sendStops(now: number): void {
-    for (const record of this.ctx.stopsWaiting) {
-      if (record.stopsAsked !== undefined || record.pendingStops.size === 0) continue
+    for (const record of this.ctx.endpointsWithPendingStops) {
+      if (record.stopsInFlight !== undefined || record.pendingStops.size === 0) continue
       const taskIds = [...record.pendingStops]
       record.pendingStops.clear()
-      record.stopsAsked = taskIds
-      record.stopsAskedAt = now
-      record.due(now + this.ctx.timing.recheckMs)
+      record.stopsInFlight = taskIds
+      record.stopsSentAt = now
+      record.scheduleCheck(now + this.ctx.timing.recheckMs)
       this.ctx.counters.stopMessages++
       const { endpoint, address } = record
       this.ctx.outbox.push({ kind: OwnerActionKind.StopTasks, endpoint, address, taskIds })
     }
-    this.ctx.stopsWaiting.clear()
+    this.ctx.endpointsWithPendingStops.clear()
   }
 
   /** Handles the answer to StopTasks; ids missing from it count as unanswered. */
-  stopsEnded(
+  handleStopResults(
     now: number,
     record: EndpointRecord,
     results: readonly StopResult[],
     boot: number | undefined,
   ): void {
-    const asked = record.stopsAsked
+    const asked = record.stopsInFlight
     if (asked === undefined) {
       this.ctx.counters.lateAnswers++
       return
     }
-    record.stopsAsked = undefined
+    record.stopsInFlight = undefined
     const states = new Map(results.map((result) => [result.taskId, result.state]))
     const answers = asked.map((taskId) => states.get(taskId) ?? StopState.NoAnswer)
     if (answers.includes(StopState.NoAnswer)) this.probes.suspect(now, record)
@@ -113,7 +115,7 @@
       const state = answers[position]
       if (task !== undefined && state !== undefined) this.handleStopResult(now, task, state, boot)
     }
-    if (record.pendingStops.size > 0) this.ctx.stopsWaiting.add(record)
+    if (record.pendingStops.size > 0) this.ctx.endpointsWithPendingStops.add(record)
   }
 
   private handleStopResult(
@@ -150,7 +152,7 @@
   private handleNeverSeen(now: number, task: TaskRecord, boot: number | undefined): void {
     if (task.started || (boot !== undefined && boot !== task.endpointBoot)) {
       this.settleUnknown(now, task, 'The endpoint restarted before it answered.')
-    } else if (boot !== undefined || task.muted) this.notRun.fenced(now, task)
+    } else if (boot !== undefined || task.reportClosed) this.notRun.handleFenced(now, task)
     else {
       task.phase = TaskPhase.Confirming
       task.recheckAt = now + CONFIRM_MARGIN_MS
@@ -172,18 +174,19 @@
 
   /** The task ended before the stop; if a request is open, its answer is awaited briefly. */
   private handleEndedBeforeStop(now: number, task: TaskRecord): void {
-    if (task.muted || task.requests.length === 0) this.ends.settle(now, task, unknownAfterDeadline)
+    if (task.reportClosed || task.requests.length === 0)
+      this.ends.settle(now, task, unknownAfterDeadline)
     else {
-      const until = now + CROSSING_MS
-      task.lastChance = { until, end: unknownAfterDeadline }
-      task.endpoint?.due(until)
+      const until = now + IN_FLIGHT_GRACE_MS
+      task.fallbackEnd = { until, end: unknownAfterDeadline }
+      task.endpoint?.scheduleCheck(until)
     }
   }
 
   private handleNoAnswer(now: number, task: TaskRecord): void {
     task.recheckAt = now + this.ctx.timing.recheckMs
-    task.endpoint?.due(task.recheckAt)
-    if (task.phase !== TaskPhase.Stopping || task.muted) return
+    task.endpoint?.scheduleCheck(task.recheckAt)
+    if (task.phase !== TaskPhase.Stopping || task.reportClosed) return
     // The deadline has passed: the task is reported now, but occupies its slot until lease expiry.
     this.ends.report(now, task, unknownAfterDeadline)
   }
@@ -203,11 +206,11 @@
   private fence(task: TaskRecord): void {
     task.phase = TaskPhase.Fencing
     this.closeIdleConnections(task)
-    this.ctx.askToStop(task)
+    this.ctx.requestStop(task)
   }
 }
 
-const unknownAfterDeadline: TaskEnd = {
+const unknownAfterDeadline: TaskResult = {
   outcome: Outcome.UNKNOWN,
   reason: Reason.DEADLINE_PASSED,
   detail: 'The deadline passed after it was dispatched, and no answer came.',
--- a/packages/owner/src/lib/recovery/crossing.ts
+++ b/packages/owner/src/lib/recovery/inFlightGrace.ts
@@ -5,4 +5,4 @@
  *
  * @internal
  */
-export const CROSSING_MS = 200
+export const IN_FLIGHT_GRACE_MS = 200
--- a/packages/owner/src/lib/tasks/DelayedTasks.ts
+++ b/packages/owner/src/lib/tasks/DelayedTasks.ts
@@ -25,7 +25,7 @@
       const first = this.heap[0]
       if (first === undefined || first.at > now) return undefined
       this.removeFirst()
-      if (first.task.phase === TaskPhase.Delayed && !first.task.muted) return first.task
+      if (first.task.phase === TaskPhase.Delayed && !first.task.reportClosed) return first.task
     }
   }
 
--- a/packages/owner/src/lib/tasks/TaskMemory.ts
+++ b/packages/owner/src/lib/tasks/TaskHistory.ts
@@ -1,7 +1,7 @@
 import type { TaskReport } from '@cherryhitch/protocol'
 
 /** The history entry of a task that is no longer queued or dispatched. @internal */
-export interface RememberedTask {
+export interface TaskHistoryEntry {
   readonly taskId: string
   readonly at: number
   /** Placements up to this attempt are duplicates; a fenced id rejects every attempt. */
@@ -18,10 +18,10 @@
 }
 
 /** Limits on the task history; `output` counts characters. @internal */
-export interface TaskMemoryOptions {
-  readonly rememberMs: number
-  readonly tasks: number
-  readonly output: number
+export interface TaskHistoryOptions {
+  readonly retentionMs: number
+  readonly maxTasks: number
+  readonly maxOutputLength: number
 }
 
 /**
@@ -30,25 +30,25 @@
  *
  * @internal
  */
-export class TaskMemory {
-  private readonly entries = new Map<string, RememberedTask>()
+export class TaskHistory {
+  private readonly entries = new Map<string, TaskHistoryEntry>()
   /** Entries that still have their report, oldest first. */
-  private readonly withReports = new Map<string, RememberedTask>()
+  private readonly withReports = new Map<string, TaskHistoryEntry>()
   private readonly cancelledJobs = new Map<string, number>()
   private readonly passedOnJobs = new Map<string, { at: number; to: Set<string> }>()
   private outputSize = 0
 
-  constructor(private readonly options: TaskMemoryOptions) {}
+  constructor(private readonly options: TaskHistoryOptions) {}
 
   get size(): number {
     return this.entries.size
   }
 
-  get(taskId: string): RememberedTask | undefined {
+  get(taskId: string): TaskHistoryEntry | undefined {
     return this.entries.get(taskId)
   }
 
-  remember(entry: RememberedTask): void {
+  record(entry: TaskHistoryEntry): void {
     this.forget(entry.taskId)
     this.entries.set(entry.taskId, entry)
     if (entry.report !== undefined) {
@@ -65,7 +65,7 @@
     this.dropReport(entry)
   }
 
-  rememberCancelledJob(now: number, jobId: string): void {
+  recordCancelledJob(now: number, jobId: string): void {
     this.cancelledJobs.delete(jobId)
     this.cancelledJobs.set(jobId, now)
   }
@@ -74,7 +74,7 @@
     return this.cancelledJobs.has(jobId)
   }
 
-  rememberPassedJob(now: number, jobId: string, to: string): void {
+  recordPassedOnJob(now: number, jobId: string, to: string): void {
     const targets = this.passedOnJobs.get(jobId)?.to ?? new Set<string>()
     targets.add(to)
     this.passedOnJobs.delete(jobId)
@@ -88,7 +88,7 @@
 
   /** Evicts entries past the retention time. Maps keep insertion order, so these come first. */
   expire(now: number): void {
-    const oldest = now - this.options.rememberMs
+    const oldest = now - this.options.retentionMs
     for (const entry of this.entries.values()) {
       if (entry.at > oldest) break
       this.forget(entry.taskId)
@@ -104,10 +104,12 @@
   }
 
   private enforceBounds(): void {
-    if (this.entries.size > this.options.tasks) this.trimEntries(sizeAfterTrim(this.options.tasks))
-    if (this.outputSize > this.options.output) this.trimReports(sizeAfterTrim(this.options.output))
-    trimOldest(this.cancelledJobs, this.options.tasks)
-    trimOldest(this.passedOnJobs, this.options.tasks)
+    if (this.entries.size > this.options.maxTasks)
+      this.trimEntries(sizeAfterTrim(this.options.maxTasks))
+    if (this.outputSize > this.options.maxOutputLength)
+      this.trimReports(sizeAfterTrim(this.options.maxOutputLength))
+    trimOldest(this.cancelledJobs, this.options.maxTasks)
+    trimOldest(this.passedOnJobs, this.options.maxTasks)
   }
 
   private trimEntries(limit: number): void {
@@ -124,7 +126,7 @@
     }
   }
 
-  private dropReport(entry: RememberedTask): void {
+  private dropReport(entry: TaskHistoryEntry): void {
     if (!this.withReports.delete(entry.taskId)) return
     this.outputSize -= entry.report?.output.length ?? 0
     entry.report = undefined
--- a/packages/owner/src/lib/tasks/TaskRecord.ts
+++ b/packages/owner/src/lib/tasks/TaskRecord.ts
@@ -1,7 +1,7 @@
 import type { Traceparent } from '@cherryhitch/model'
 import type { QueuedTask } from '@cherryhitch/policy'
 import type { PlacedTask, Resources, TaskSpec } from '@cherryhitch/protocol'
-import type { TaskEnd } from '../outcomes/TaskEnd'
+import type { TaskResult } from '../outcomes/TaskResult'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import type { JobSpread } from './JobSpread'
 
@@ -41,7 +41,7 @@
 /** How a task ends if its answer has not arrived by `until`. @internal */
 export interface FallbackEnd {
   readonly until: number
-  readonly end: TaskEnd
+  readonly end: TaskResult
 }
 
 /** @internal */
@@ -59,19 +59,19 @@
   /** Consecutive unanswered renewals. */
   unansweredRenewals = 0
   /** When a renewal's answer said that the task does not run, while its result is outstanding. */
-  missedAt: number | undefined
+  missingFromRenewalAt: number | undefined
   /** When a heartbeat did not list the task, while its result is outstanding. */
-  doubtedAt: number | undefined
+  missingFromHeartbeatAt: number | undefined
   /** A renewal confirmed that the task runs, which takes precedence over heartbeat lists. */
-  vouched = false
+  confirmedByRenewal = false
   /** Earliest time of the next request to the endpoint about the task. */
   recheckAt = 0
   /** Set while a result may still be in flight after the task ended or its endpoint restarted. */
-  lastChance: FallbackEnd | undefined
+  fallbackEnd: FallbackEnd | undefined
   /** A join request was sent, so the endpoint is known to have started the task. */
   started = false
   /** The report was sent, or none is to be sent. */
-  muted = false
+  reportClosed = false
   /** Dispatches that provably did not run. */
   retries = 0
   /** The rack under which the task is counted in its job's spread. */
@@ -82,7 +82,7 @@
   /** Span id of the current dispatch, created on first use. */
   runSpanId: string | undefined
   /** Endpoints where the task's id is fenced. */
-  fencedAt: readonly string[] = []
+  fencedEndpoints: readonly string[] = []
   readonly jobRemaining: number
   readonly estimateMs: number
   readonly attempt: number
--- a/packages/owner/src/lib/tasks/TaskBook.ts
+++ b/packages/owner/src/lib/tasks/TaskRegistry.ts
@@ -3,7 +3,7 @@
 import type { JobRecord, TaskRecord } from './TaskRecord'
 
 /** All tasks queued or dispatched by this owner, indexed by id, job and coordinator. @internal */
-export class TaskBook {
+export class TaskRegistry {
   private readonly tasks = new Map<string, TaskRecord>()
   private readonly jobs = new Map<string, JobRecord>()
   private readonly coordinators = new Map<string, Set<JobRecord>>()
--- a/packages/owner/src/lib/views/Summaries.ts
+++ b/packages/owner/src/lib/views/ServiceSummaries.ts
@@ -2,7 +2,7 @@
 import { HealthState } from '@cherryhitch/policy'
 import type { Resources, ServiceSummary } from '@cherryhitch/protocol'
 import { ResourcesSchema, ServiceSummarySchema } from '@cherryhitch/protocol'
-import type { ServiceLane } from '../dispatch/ServiceLane'
+import type { ServicePool } from '../dispatch/ServicePool'
 import type { EndpointRecord } from '../endpoints/EndpointRecord'
 import { EndpointReach } from '../endpoints/EndpointRecord'
 import type { OwnerContext } from '../OwnerContext'
@@ -24,7 +24,7 @@
 }
 
 /** Summarizes capacity and load per service, and detects changes worth announcing. @internal */
-export class Summaries {
+export class ServiceSummaries {
   private announced = new Map<string, SlotOffer>()
   private announcedAt = -Infinity
 
@@ -32,15 +32,15 @@
 
   make(now: number): readonly ServiceSummary[] {
     if (this.ctx.draining) return []
-    return [...this.ctx.lanes.values()].map((lane) => this.summarize(now, lane))
+    return [...this.ctx.pools.values()].map((lane) => this.summarize(now, lane))
   }
 
   /** Whether the slots on offer differ significantly from those last announced. */
-  changedMuch(now: number): boolean {
-    if (now - this.announcedAt < this.ctx.timing.summaryMs) return false
+  hasChangedSignificantly(now: number): boolean {
+    if (now - this.announcedAt < this.ctx.timing.summaryIntervalMs) return false
     const offers = new Map<string, SlotOffer>()
     if (!this.ctx.draining) {
-      for (const lane of this.ctx.lanes.values()) offers.set(lane.service, this.tally(now, lane))
+      for (const lane of this.ctx.pools.values()) offers.set(lane.service, this.tally(now, lane))
     }
     if (!differSignificantly(this.announced, offers)) return false
     this.announced = offers
@@ -48,23 +48,23 @@
     return true
   }
 
-  private summarize(now: number, lane: ServiceLane): ServiceSummary {
-    const { endpoints, slots, freeSlots, ejected, largest } = this.tally(now, lane)
+  private summarize(now: number, pool: ServicePool): ServiceSummary {
+    const { endpoints, slots, freeSlots, ejected, largest } = this.tally(now, pool)
     const summary = create(ServiceSummarySchema, {
-      service: lane.service,
+      service: pool.service,
       endpoints,
       slots,
       freeSlots,
-      queuedTasks: lane.queue.size + lane.delayed,
-      waitMs: lane.predictWaitMs(slots, freeSlots),
-      meanRunMs: lane.meanRunMs,
+      queuedTasks: pool.queue.size + pool.delayedTasks,
+      waitMs: pool.predictWaitMs(slots, freeSlots),
+      meanRunMs: pool.meanRunMs,
       ejectedEndpoints: ejected,
     })
     if (largest !== undefined) summary.largest = largest
     return summary
   }
 
-  private tally(now: number, lane: ServiceLane): Tally {
+  private tally(now: number, lane: ServicePool): Tally {
     const tally: Tally = { endpoints: 0, slots: 0, freeSlots: 0, ejected: 0, largest: undefined }
     for (const record of lane.endpoints) {
       if (!this.isUsable(now, record)) continue
--- a/packages/owner/src/lib/views/describeEndpoint.ts
+++ b/packages/owner/src/lib/views/describeEndpoint.ts
@@ -22,8 +22,8 @@
     slots: record.slots,
     freeSlots: record.freeSlots,
     runningTasks: record.running.size,
-    heldSlots: record.held.size,
+    heldSlots: record.heldSlots.size,
     silentMs: now - record.lastHeartbeatAt,
-    slowness: ctx.lanes.get(record.service)?.pace.slowness(now, record.endpoint) ?? 1,
+    slowness: ctx.pools.get(record.service)?.runTimes.slowness(now, record.endpoint) ?? 1,
   }
 }
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -16,11 +16,14 @@
 } from './lib/admission/PredictedFinishAdmission'
 export type { PredictedFinishAdmissionOptions } from './lib/admission/PredictedFinishAdmission'
 export { QueueLimitAdmission } from './lib/admission/QueueLimitAdmission'
-export { CrashBlame, TaskStanding } from './lib/crashes/CrashBlame'
-export type { LossUnderTask } from './lib/crashes/CrashBlame'
-export { CountedCrashBlame, defaultCountedCrashBlameOptions } from './lib/crashes/CountedCrashBlame'
-export type { CountedCrashBlameOptions } from './lib/crashes/CountedCrashBlame'
-export { NeverBlamed } from './lib/crashes/NeverBlamed'
+export { CrashAttribution, CrashSuspicion } from './lib/crashes/CrashAttribution'
+export type { EndpointLoss } from './lib/crashes/CrashAttribution'
+export {
+  CountedCrashAttribution,
+  defaultCountedCrashAttributionOptions,
+} from './lib/crashes/CountedCrashAttribution'
+export type { CountedCrashAttributionOptions } from './lib/crashes/CountedCrashAttribution'
+export { NoCrashAttribution } from './lib/crashes/NoCrashAttribution'
 export { createRunTimeEstimator } from './lib/estimates/createRunTimeEstimator'
 export { DeclaredEstimator } from './lib/estimates/DeclaredEstimator'
 export { defaultLearnedEstimatorOptions, LearnedEstimator } from './lib/estimates/LearnedEstimator'
@@ -51,10 +54,7 @@
 export type { PlacementCandidate, PlacementOutlook } from './lib/placement/EndpointPicker'
 export { RandomPicker } from './lib/placement/RandomPicker'
 export { defaultSlownessTrackerOptions, SlownessTracker } from './lib/placement/SlownessTracker'
-export type {
-  RunObservation as RunSeen,
-  SlownessTrackerOptions,
-} from './lib/placement/SlownessTracker'
+export type { RunObservation, SlownessTrackerOptions } from './lib/placement/SlownessTracker'
 export { defaultSpreadFastPickerOptions, SpreadFastPicker } from './lib/placement/SpreadFastPicker'
 export type { SpreadFastPickerOptions } from './lib/placement/SpreadFastPicker'
 export { createRetryBudget } from './lib/retries/createRetryBudget'
--- a/packages/policy/src/lib/crashes/CountedCrashBlame.ts
+++ b/packages/policy/src/lib/crashes/CountedCrashAttribution.ts
@@ -1,8 +1,8 @@
-import { CrashBlame, TaskStanding } from './CrashBlame'
-import type { LossUnderTask } from './CrashBlame'
+import { CrashAttribution, CrashSuspicion } from './CrashAttribution'
+import type { EndpointLoss } from './CrashAttribution'
 
 /** @public */
-export interface CountedCrashBlameOptions {
+export interface CountedCrashAttributionOptions {
   /** Confirmed crashes, none shared with other endpoints, after which a task is the culprit. */
   readonly culpritCrashThreshold: number
   /** Confirmed losses, not shared with other endpoints, after which a task is held. */
@@ -15,7 +15,7 @@
 }
 
 /** @public */
-export const defaultCountedCrashBlameOptions: CountedCrashBlameOptions = {
+export const defaultCountedCrashAttributionOptions: CountedCrashAttributionOptions = {
   culpritCrashThreshold: 2,
   heldLossThreshold: 2,
   totalLossThreshold: 3,
@@ -30,23 +30,23 @@
  *
  * @public
  */
-export class CountedCrashBlame extends CrashBlame {
-  readonly #options: CountedCrashBlameOptions
+export class CountedCrashAttribution extends CrashAttribution {
+  readonly #options: CountedCrashAttributionOptions
 
-  constructor(options: Partial<CountedCrashBlameOptions> = {}) {
+  constructor(options: Partial<CountedCrashAttributionOptions> = {}) {
     super()
-    this.#options = { ...defaultCountedCrashBlameOptions, ...options }
+    this.#options = { ...defaultCountedCrashAttributionOptions, ...options }
   }
 
-  override standing(losses: readonly LossUnderTask[]): TaskStanding {
+  override suspicionOf(losses: readonly EndpointLoss[]): CrashSuspicion {
     const alone = losses.filter(({ isShared }) => !isShared)
     const own = alone.filter(({ isPossible }) => !isPossible)
     const crashes = own.filter(({ isCrash }) => isCrash)
-    if (crashes.length >= this.#options.culpritCrashThreshold) return TaskStanding.Culprit
+    if (crashes.length >= this.#options.culpritCrashThreshold) return CrashSuspicion.Culprit
     const allCrashes = alone.filter(({ isCrash }) => isCrash)
-    if (allCrashes.length >= this.#options.totalLossThreshold) return TaskStanding.Culprit
-    if (own.length >= this.#options.heldLossThreshold) return TaskStanding.Held
-    if (losses.length >= this.#options.totalLossThreshold) return TaskStanding.Held
-    return alone.length > 0 ? TaskStanding.Suspect : TaskStanding.Clear
+    if (allCrashes.length >= this.#options.totalLossThreshold) return CrashSuspicion.Culprit
+    if (own.length >= this.#options.heldLossThreshold) return CrashSuspicion.Held
+    if (losses.length >= this.#options.totalLossThreshold) return CrashSuspicion.Held
+    return alone.length > 0 ? CrashSuspicion.Suspect : CrashSuspicion.Clear
   }
 }
--- a/packages/policy/src/lib/crashes/CrashBlame.ts
+++ b/packages/policy/src/lib/crashes/CrashAttribution.ts
@@ -3,7 +3,7 @@
  *
  * @public
  */
-export enum TaskStanding {
+export enum CrashSuspicion {
   /** No loss points to the task. */
   Clear = 'clear',
   /**
@@ -18,7 +18,7 @@
 }
 
 /** The loss of an endpoint on which a task was running. @public */
-export interface LossUnderTask {
+export interface EndpointLoss {
   /** The endpoint has restarted, so the process ended rather than the connection to it. */
   readonly isCrash: boolean
   /**
@@ -36,6 +36,6 @@
  *
  * @public
  */
-export abstract class CrashBlame {
-  abstract standing(losses: readonly LossUnderTask[]): TaskStanding
+export abstract class CrashAttribution {
+  abstract suspicionOf(losses: readonly EndpointLoss[]): CrashSuspicion
 }
--- a/packages/policy/src/lib/health/EjectingHealth.ts
+++ b/packages/policy/src/lib/health/EjectingHealth.ts
@@ -2,7 +2,7 @@
 import { EndpointHealth, HealthFailure, HealthState } from './EndpointHealth'
 import type { HealthObservation } from './EndpointHealth'
 import { EndpointHealthRecord } from './EndpointHealthRecord'
-import { WeightedFailures } from './FailureMarks'
+import { WeightedFailures } from './WeightedFailures'
 import { JobFailureHistory } from './JobFailureHistory'
 
 /** @public */
--- a/packages/policy/src/lib/health/EndpointHealthRecord.ts
+++ b/packages/policy/src/lib/health/EndpointHealthRecord.ts
@@ -1,6 +1,6 @@
 import { DecayedSum } from '../util/DecayedSum'
 import { HealthState } from './EndpointHealth'
-import type { WeightedFailures } from './FailureMarks'
+import type { WeightedFailures } from './WeightedFailures'
 
 /** Age at which a result has decayed to 1/e in the comparison of endpoints. */
 const COMPARE_TAU_MS = 10_000
--- a/packages/policy/src/lib/retries/FixedRetries.ts
+++ b/packages/policy/src/lib/retries/FixedRetries.ts
@@ -4,7 +4,7 @@
 
 /** Baseline: a fixed number of immediate retries, whatever the load. @public */
 export class FixedRetries extends RetryBudget {
-  override noteFresh(): void {
+  override recordNewTasks(): void {
     // The number of retries does not depend on the amount of new work.
   }
 
--- a/packages/policy/src/lib/retries/RetryBudget.ts
+++ b/packages/policy/src/lib/retries/RetryBudget.ts
@@ -1,7 +1,7 @@
 /** Decides whether and when a task that is known not to have run may be retried. @public */
 export abstract class RetryBudget {
   /** Counts first attempts of tasks, which add to the budget. */
-  abstract noteFresh(now: number, tasks: number): void
+  abstract recordNewTasks(now: number, tasks: number): void
   /**
    * Takes one retry from the budget.
    *
--- a/packages/policy/src/lib/retries/ShareRetryBudget.test.ts
+++ b/packages/policy/src/lib/retries/ShareRetryBudget.test.ts
@@ -14,19 +14,19 @@
   it('grants the initial tokens, then a share of new work', () => {
     const budget = new ShareRetryBudget({ share: 0.1, maxTokens: 20 })
     assert.equal(granted(budget, 500), 20)
-    for (let n = 0; n < 100; n++) budget.noteFresh(0, 1)
+    for (let n = 0; n < 100; n++) budget.recordNewTasks(0, 1)
     assert.equal(granted(budget, 500), 10)
   })
 
   it('accumulates no more tokens than the capacity', () => {
     const budget = new ShareRetryBudget({ share: 0.5, maxTokens: 20 })
-    budget.noteFresh(0, 100_000)
+    budget.recordNewTasks(0, 100_000)
     assert.equal(granted(budget, 500), 20)
   })
 
   it('grants none with a share of 0', () => {
     const budget = new ShareRetryBudget({ share: 0 })
-    budget.noteFresh(0, 1000)
+    budget.recordNewTasks(0, 1000)
     assert.equal(granted(budget, 1), 0)
   })
 
@@ -59,7 +59,7 @@
         let fresh = 0
         let retries = 0
         for (const one of steps) {
-          budget.noteFresh(0, one.fresh)
+          budget.recordNewTasks(0, one.fresh)
           fresh += one.fresh
           retries += granted(budget, one.retries)
           assert.ok(retries <= 10 + fresh * 0.25)
--- a/packages/policy/src/lib/retries/ShareRetryBudget.ts
+++ b/packages/policy/src/lib/retries/ShareRetryBudget.ts
@@ -49,7 +49,7 @@
     this.tokens = this.options.share > 0 ? this.options.maxTokens : 0
   }
 
-  override noteFresh(_now: number, tasks: number): void {
+  override recordNewTasks(_now: number, tasks: number): void {
     this.tokens = Math.min(this.options.maxTokens, this.tokens + tasks * this.options.share)
   }
 
--- a/packages/rpc/src/lib/host/startLinkHost.ts
+++ b/packages/rpc/src/lib/host/startLinkHost.ts
@@ -1,5 +1,5 @@
 import { isValidName } from '@cherryhitch/model'
-import { startPacedTimer, systemClock } from '@cherryhitch/runtime'
+import { startVariableTimer, systemClock } from '@cherryhitch/runtime'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 import { BatchReceiver } from '../server/BatchReceiver'
@@ -50,7 +50,7 @@
       }),
     )
     host.setPeers(options.peers)
-    yield* startPacedTimer(() => host.tick())
+    yield* startVariableTimer(() => host.tick())
     return host
   })
 }
--- a/packages/rpc/src/lib/host/startSelfDelivery.ts
+++ b/packages/rpc/src/lib/host/startSelfDelivery.ts
@@ -31,7 +31,7 @@
   const onDefect = (defect: unknown): void => {
     handlers.log(`self-delivery stopped after an unexpected error: ${String(defect)}`)
   }
-  return Effect.map(startMailbox({ take, onDefect }), (mailbox) => (envelope) => {
+  return Effect.map(startMailbox({ handleBatch: take, onDefect }), (mailbox) => (envelope) => {
     if (mailbox.backlog() >= maxQueuedEnvelopes) {
       counters.dropped += 1
       return false
--- a/packages/rpc/src/lib/peer/PeerLink.ts
+++ b/packages/rpc/src/lib/peer/PeerLink.ts
@@ -1,6 +1,6 @@
 import type { Envelope } from '@cherryhitch/protocol'
 import { exhaustive, hash64 } from '@cherryhitch/model'
-import { Machine } from '@cherryhitch/runtime'
+import { StateMachine } from '@cherryhitch/runtime'
 import type { LinkCounters } from '../host/LinkCounters'
 import type { LinkTuning } from '../host/LinkHostOptions'
 import { Outbox } from './Outbox'
@@ -67,7 +67,7 @@
  *
  * @internal
  */
-export class PeerLink extends Machine<PeerLinkEvent, PeerLinkAction> {
+export class PeerLink extends StateMachine<PeerLinkEvent, PeerLinkAction> {
   readonly outbox: Outbox
   #up = false
   #current: Connection | undefined
--- a/packages/rpc/src/lib/peer/startPeerLink.ts
+++ b/packages/rpc/src/lib/peer/startPeerLink.ts
@@ -50,7 +50,7 @@
   const { handlers, peer } = options
   return Effect.gen(function* () {
     const mailbox: Mailbox<LinkMessage> = yield* startMailbox<LinkMessage>({
-      take: (messages) => {
+      handleBatch: (messages) => {
         runner.handle(messages)
       },
       onDefect: (defect) => {
--- a/packages/rpc/src/lib/server/BatchReceiver.ts
+++ b/packages/rpc/src/lib/server/BatchReceiver.ts
@@ -2,7 +2,7 @@
 import { isValidName } from '@cherryhitch/model'
 import { BatchReceiptSchema } from '@cherryhitch/protocol'
 import type { BatchReceipt, EnvelopeBatch } from '@cherryhitch/protocol'
-import { GatherPace, systemClock } from '@cherryhitch/runtime'
+import { BatchPacer, systemClock } from '@cherryhitch/runtime'
 import { Code, ConnectError } from '@connectrpc/connect'
 import type { HandlerContext } from '@connectrpc/connect'
 import { AsyncQueue } from '../queue/AsyncQueue'
@@ -55,7 +55,7 @@
     batches: AsyncIterable<EnvelopeBatch>,
     receipts: AsyncQueue<BatchReceipt>,
   ): Promise<void> {
-    const pacer = new GatherPace(this.options.receiptGapMs)
+    const pacer = new BatchPacer(this.options.receiptGapMs)
     let first: EnvelopeBatch | undefined
     let stream = 0
     try {
@@ -74,15 +74,15 @@
 
   #scheduleReceipt(
     { from }: EnvelopeBatch,
-    pacer: GatherPace,
+    pacer: BatchPacer,
     receipts: AsyncQueue<BatchReceipt>,
   ): void {
     const send = (): void => {
-      pacer.noteSent(systemClock.now())
+      pacer.recordSend(systemClock.now())
       const sequence = this.#inbox.highest(from)
       receipts.push(create(BatchReceiptSchema, { sequence, fromBoot: this.options.boot }))
     }
-    const waitMs = pacer.note(systemClock.now())
+    const waitMs = pacer.requestSend(systemClock.now())
     if (waitMs === undefined) return
     if (waitMs === 0) send()
     else setTimeout(send, waitMs)
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -4,15 +4,15 @@
  *
  * @packageDocumentation
  */
-export { Agenda, defaultAgendaOptions, TieOrder } from './lib/Agenda'
-export type { AgendaOptions } from './lib/Agenda'
-export { GatherPace } from './lib/GatherPace'
-export { Machine } from './lib/Machine'
+export { EventScheduler, defaultEventSchedulerOptions, TieOrder } from './lib/EventScheduler'
+export type { EventSchedulerOptions } from './lib/EventScheduler'
+export { BatchPacer } from './lib/BatchPacer'
+export { StateMachine } from './lib/StateMachine'
 export { startMailbox } from './lib/startMailbox'
 export type { Mailbox, MailboxOptions } from './lib/startMailbox'
 export { startPart } from './lib/startPart'
 export type { Part, PartOptions } from './lib/startPart'
-export { startPacedTimer } from './lib/startPacedTimer'
+export { startVariableTimer } from './lib/startVariableTimer'
 export { startTimer } from './lib/startTimer'
 export { systemClock } from './lib/Clock'
 export type { Clock } from './lib/Clock'
--- a/packages/runtime/src/lib/GatherPace.ts
+++ b/packages/runtime/src/lib/BatchPacer.ts
@@ -4,7 +4,7 @@
  *
  * @public
  */
-export class GatherPace {
+export class BatchPacer {
   #lastSentAt = -Infinity
   #isPending = false
 
@@ -16,14 +16,14 @@
    *
    * @returns the delay after which to send, in milliseconds; undefined if a send is already pending
    */
-  note(now: number): number | undefined {
+  requestSend(now: number): number | undefined {
     if (this.#isPending) return undefined
     this.#isPending = true
     return Math.max(0, this.#lastSentAt + this.intervalMs - now)
   }
 
   /** Called when all pending items have been sent. */
-  noteSent(now: number): void {
+  recordSend(now: number): void {
     this.#isPending = false
     this.#lastSentAt = now
   }
--- a/packages/runtime/src/lib/Agenda.test.ts
+++ b/packages/runtime/src/lib/EventScheduler.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { Agenda, TieOrder } from './Agenda'
+import { EventScheduler, TieOrder } from './EventScheduler'
 
 describe('EventScheduler', () => {
   it('runs events in order of due time, with the clock set to that time', () => {
-    const agenda = new Agenda({ startMs: 0 })
+    const agenda = new EventScheduler({ startMs: 0 })
     const ran: [string, number][] = []
     for (const [name, ms] of [
       ['late', 30],
@@ -26,7 +26,7 @@
   })
 
   it('runs events that are scheduled by other events within the same run', () => {
-    const agenda = new Agenda({ startMs: 0 })
+    const agenda = new EventScheduler({ startMs: 0 })
     const ran: number[] = []
     const repeat = (): void => {
       ran.push(agenda.now)
@@ -38,11 +38,11 @@
   })
 
   for (const [ties, expected] of [
-    [TieOrder.FirstAsked, [0, 1, 2, 3, 4]],
-    [TieOrder.LastAsked, [4, 3, 2, 1, 0]],
+    [TieOrder.Fifo, [0, 1, 2, 3, 4]],
+    [TieOrder.Lifo, [4, 3, 2, 1, 0]],
   ] as const) {
     it(`runs simultaneous events in tie order ${ties}`, () => {
-      const agenda = new Agenda({ ties })
+      const agenda = new EventScheduler({ tieOrder: ties })
       const ran: number[] = []
       for (let i = 0; i < 5; i++) {
         agenda.after(10, () => {
--- a/packages/runtime/src/lib/Agenda.ts
+++ b/packages/runtime/src/lib/EventScheduler.ts
@@ -7,35 +7,35 @@
 
 /** Order of events that are due at the same instant, by when they were scheduled. @public */
 export enum TieOrder {
-  FirstAsked = 'first_asked',
-  LastAsked = 'last_asked',
+  Fifo = 'first_asked',
+  Lifo = 'last_asked',
 }
 
 /** @public */
-export interface AgendaOptions {
+export interface EventSchedulerOptions {
   /** Initial time of the clock, in milliseconds. */
   readonly startMs?: number
-  readonly ties?: TieOrder
+  readonly tieOrder?: TieOrder
 }
 
 /** @public */
-export const defaultAgendaOptions: Required<AgendaOptions> = {
+export const defaultEventSchedulerOptions: Required<EventSchedulerOptions> = {
   startMs: 1_000_000,
-  ties: TieOrder.FirstAsked,
+  tieOrder: TieOrder.Fifo,
 }
 
 /** Virtual clock and event queue of a simulated run. @public */
-export class Agenda {
+export class EventScheduler {
   private time: number
   private readonly heap: ScheduledEvent[] = []
   /** Rank of the latest event. Ranks ascend, or descend if the latest event is to run first. */
   private lastRank = 0
   private readonly rankStep: number
 
-  constructor(options: AgendaOptions = {}) {
-    const { startMs, ties } = { ...defaultAgendaOptions, ...options }
+  constructor(options: EventSchedulerOptions = {}) {
+    const { startMs, tieOrder: ties } = { ...defaultEventSchedulerOptions, ...options }
     this.time = startMs
-    this.rankStep = ties === TieOrder.FirstAsked ? 1 : -1
+    this.rankStep = ties === TieOrder.Fifo ? 1 : -1
   }
 
   get now(): number {
--- a/packages/runtime/src/lib/Machine.ts
+++ b/packages/runtime/src/lib/StateMachine.ts
@@ -6,7 +6,7 @@
  *
  * @public
  */
-export abstract class Machine<Event, Action> {
+export abstract class StateMachine<Event, Action> {
   /**
    * Handles one event and returns the actions to perform.
    *
@@ -29,7 +29,7 @@
    * @param _delayMs - time from when the step was due until all its actions were performed, in
    *   milliseconds
    */
-  noteStep(_now: number, _delayMs: number): void {
+  recordStep(_now: number, _delayMs: number): void {
     // Does nothing by default: most machines are never short of processor time.
   }
 
--- a/packages/runtime/src/lib/startMailbox.test.ts
+++ b/packages/runtime/src/lib/startMailbox.test.ts
@@ -11,7 +11,7 @@
   const defects: unknown[] = []
   const scope = Scope.makeUnsafe()
   const started = startMailbox<number>({
-    take: (items) => {
+    handleBatch: (items) => {
       batches.push([...items])
       items.forEach(onItem)
     },
--- a/packages/runtime/src/lib/startMailbox.ts
+++ b/packages/runtime/src/lib/startMailbox.ts
@@ -9,7 +9,7 @@
    * @param dueAt - when the call was due, in the time of `performance.now()`; a busy process makes
    *   the call later
    */
-  readonly take: (items: readonly Item[], dueAt: number) => void
+  readonly handleBatch: (items: readonly Item[], dueAt: number) => void
   /** Called when `handleBatch` throws. The mailbox is closed then. */
   readonly onDefect: (defect: unknown) => void
   /**
@@ -86,7 +86,7 @@
     if (this.isClosed) return
     if (this.options.gapMs !== undefined) this.lastBatchAt = performance.now()
     try {
-      this.options.take(items, this.dueAt)
+      this.options.handleBatch(items, this.dueAt)
       if (this.options.gapMs !== undefined)
         this.lastDurationMs = performance.now() - this.lastBatchAt
     } catch (err) {
--- a/packages/runtime/src/lib/startPart.test.ts
+++ b/packages/runtime/src/lib/startPart.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict'
 import { afterEach, beforeEach, describe, it, mock } from 'node:test'
 import { Effect, Exit, Scope } from 'effect'
-import { Machine } from './Machine'
+import { StateMachine } from './StateMachine'
 import { startPart } from './startPart'
 import type { Part } from './startPart'
 
 const TICK_MS = 10
 
 /** Records its ticks; each event sets when the next tick is due. */
-class DueMachine extends Machine<number, never> {
+class DueMachine extends StateMachine<number, never> {
   readonly ticks: number[] = []
   #dueAt: number
 
--- a/packages/runtime/src/lib/startPart.ts
+++ b/packages/runtime/src/lib/startPart.ts
@@ -2,7 +2,7 @@
 import type { Scope } from 'effect'
 import type { Clock } from './Clock'
 import { systemClock } from './Clock'
-import type { Machine } from './Machine'
+import type { StateMachine } from './StateMachine'
 import { startMailbox } from './startMailbox'
 import type { Mailbox } from './startMailbox'
 import { TickTimer } from './TickTimer'
@@ -33,7 +33,7 @@
  * @public
  */
 export function startPart<Event, Action>(
-  machine: Machine<Event, Action>,
+  machine: StateMachine<Event, Action>,
   options: PartOptions<Action>,
 ): Effect.Effect<Part<Event>, never, Scope.Scope> {
   const { onDefect, gapMs, clock = systemClock } = options
@@ -41,7 +41,7 @@
     for (const action of actions) options.perform(action)
   }
   /** Handles events that arrived together in one call, so that the machine can share work. */
-  const take = (batch: readonly (Event | typeof TICK)[], dueAt: number): void => {
+  const runStep = (batch: readonly (Event | typeof TICK)[], dueAt: number): void => {
     const events = batch.filter((event): event is Event => event !== TICK)
     if (events.length > 0) perform(machine.stepAll(clock.now(), events))
     if (events.length < batch.length) {
@@ -50,7 +50,7 @@
       perform(machine.tick(now))
     }
     options.onStepEnd?.()
-    machine.noteStep(clock.now(), performance.now() - dueAt)
+    machine.recordStep(clock.now(), performance.now() - dueAt)
     tickTimer.arm()
   }
   const tickTimer = new TickTimer({
@@ -63,7 +63,7 @@
   })
   let mailbox: Mailbox<Event | typeof TICK>
   return Effect.gen(function* () {
-    mailbox = yield* startMailbox({ take, onDefect, ...(gapMs && { gapMs }) })
+    mailbox = yield* startMailbox({ handleBatch: runStep, onDefect, ...(gapMs && { gapMs }) })
     yield* Effect.addFinalizer(() =>
       Effect.sync(() => {
         tickTimer.close()
--- a/packages/runtime/src/lib/startPacedTimer.ts
+++ b/packages/runtime/src/lib/startVariableTimer.ts
@@ -7,7 +7,7 @@
  *
  * @public
  */
-export function startPacedTimer(onTick: () => number): Effect.Effect<void, never, Scope.Scope> {
+export function startVariableTimer(onTick: () => number): Effect.Effect<void, never, Scope.Scope> {
   return Effect.suspend(() => {
     let timer: NodeJS.Timeout | undefined
     const run = (): void => {
