--- a/packages/coordinator/src/lib/placement/OwnerLossHandler.ts
+++ b/packages/coordinator/src/lib/placement/OwnerLossHandler.ts
@@ -50,8 +50,8 @@
   ) {}
 
   handleMemberChange(now: number, change: MemberChange): void {
-    const { tasksByOwner: inFlight, counters } = this.context
-    const tasks = inFlight.of(change.instance)
+    const { tasksByOwner, counters } = this.context
+    const tasks = tasksByOwner.of(change.instance)
     if (change.kind === MemberChangeKind.Restarted)
       this.context.outbox.discardCancels(change.instance)
     if (tasks.size === 0) return
@@ -69,7 +69,7 @@
 
   /** Fails the tasks of a lost owner once their leases have expired, unless it has returned. */
   handleLeasesExpired(now: number, owner: string, boot: number): void {
-    const { members, tasksByOwner: inFlight } = this.context
+    const { members, tasksByOwner } = this.context
     if (members.isAliveInBoot(owner, boot)) return
     if (members.bootOf(owner) === boot && now < this.leaseEndAt(owner)) {
       this.context.timers.schedule(this.leaseEndAt(owner), {
@@ -79,7 +79,7 @@
       })
       return
     }
-    const lost = [...inFlight.of(owner)].filter((task) => task.placement?.boot === boot)
+    const lost = [...tasksByOwner.of(owner)].filter((task) => task.placement?.boot === boot)
     this.failLostTasks(now, lost)
   }
 
@@ -90,7 +90,7 @@
   checkLateTasks(now: number, job: Job): void {
     if (job.phase !== JobPhase.Running) return
     job.lateCheckScheduled = false
-    const { timing, members, timers: due } = this.context
+    const { timing, members, timers } = this.context
     const late = job.tasks.filter((task) => isOlderThan(task, now - timing.lateTaskQueryMs))
     const expired: TaskRecord[] = []
     for (const [owner, tasks] of groupBy(late, ownerOf)) {
@@ -102,7 +102,7 @@
       now + Math.min(timing.maxQueryIntervalMs, timing.lateTaskQueryMs * 2 ** job.lateChecks++)
     if (job.tasksEnded === job.tasks.length || nextAt >= job.deadlineAt) return
     job.lateCheckScheduled = true
-    due.schedule(nextAt, { kind: TimerKind.CheckLateTasks, sequence: job.sequence })
+    timers.schedule(nextAt, { kind: TimerKind.CheckLateTasks, sequence: job.sequence })
   }
 
   handleFenceReports(now: number, from: string, message: FenceReports): void {
@@ -187,10 +187,10 @@
    * not known, so it ends with an unknown outcome after one lease.
    */
   private awaitLeaseExpiry(now: number, task: TaskRecord, { owner, spanId }: Placement): void {
-    const { timers: due, timing } = this.context
+    const { timers, timing } = this.context
     this.flight.passOn(now, task, adoptedPlacement(now, owner, NO_BOOT, spanId))
     const at = now + timing.leaseMs + timing.leaseMarginMs
-    due.schedule(at, { kind: TimerKind.OwnerLeasesExpired, owner, boot: NO_BOOT })
+    timers.schedule(at, { kind: TimerKind.OwnerLeasesExpired, owner, boot: NO_BOOT })
   }
 
   private isKnownOwner(from: string, task: TaskRecord): boolean {
@@ -223,13 +223,13 @@
   }
 
   private scheduleLeaseExpiry(now: number, change: MemberChange): void {
-    const { timing, timers: due } = this.context
+    const { timing, timers } = this.context
     const { kind, instance, boot, heardAt } = change
     const leaseMs = timing.leaseMs + timing.leaseMarginMs
     const isRestart = kind === MemberChangeKind.Restarted
     // The last lease renewal of the earlier boot is not known, so a full lease is allowed from now.
     const at = isRestart ? now + leaseMs : Math.max(now, heardAt + leaseMs)
-    due.schedule(at, { kind: TimerKind.OwnerLeasesExpired, owner: instance, boot })
+    timers.schedule(at, { kind: TimerKind.OwnerLeasesExpired, owner: instance, boot })
   }
 
   private leaseEndAt(owner: string): number {
--- a/packages/coordinator/src/lib/placement/TaskPlacer.ts
+++ b/packages/coordinator/src/lib/placement/TaskPlacer.ts
@@ -93,8 +93,8 @@
   }
 
   private scheduleLateCheck(now: number, job: Job, expectedMs: number): void {
-    const { lateTaskQueryMs: askAfterMs, lateTaskQueryMaxMs: askAfterMaxMs } = this.context.timing
-    const lateMs = Math.min(Math.max(askAfterMs, LATE_FACTOR * expectedMs), askAfterMaxMs)
+    const { lateTaskQueryMs, lateTaskQueryMaxMs } = this.context.timing
+    const lateMs = Math.min(Math.max(lateTaskQueryMs, LATE_FACTOR * expectedMs), lateTaskQueryMaxMs)
     const at = now + lateMs
     if (at >= job.deadlineAt || job.lateCheckScheduled) return
     job.lateCheckScheduled = true
--- a/packages/owner/src/lib/client/EndpointClient.test.ts
+++ b/packages/owner/src/lib/client/EndpointClient.test.ts
@@ -210,12 +210,8 @@
   it('emits the running tasks without ids that were not requested', async () => {
     answerWith(200, { running: ['a.1.1.0', 'x.1.1.0'], boot: 3 })
     renew(['a.1.1.0', 'a.1.1.1'])
-    const {
-      knownTaskIds: known,
-      boot,
-      taskIds: asked,
-    } = await mailbox.next(OwnerEventKind.LeasesRenewed)
-    assert.deepEqual([known, boot, asked.length], [['a.1.1.0'], 3, 2])
+    const { knownTaskIds, boot, taskIds } = await mailbox.next(OwnerEventKind.LeasesRenewed)
+    assert.deepEqual([knownTaskIds, boot, taskIds.length], [['a.1.1.0'], 3, 2])
   })
 
   it('emits the states of stopped tasks', async () => {
--- a/packages/owner/src/lib/client/EndpointClient.ts
+++ b/packages/owner/src/lib/client/EndpointClient.ts
@@ -193,8 +193,8 @@
       read: readStopsReply,
     }
     this.sendControl(request, true, (reply) => {
-      const asked = new Set(taskIds)
-      const results = reply?.results.filter((result) => asked.has(result.taskId)) ?? []
+      const requested = new Set(taskIds)
+      const results = reply?.results.filter((result) => requested.has(result.taskId)) ?? []
       this.countForeign((reply?.results.length ?? 0) - results.length)
       this.emit({ kind: OwnerEventKind.StopEnded, endpoint, results, boot: reply?.boot })
     })
@@ -216,14 +216,14 @@
       read: readLeasesReply,
     }
     this.sendControl(request, true, (reply) => {
-      const asked = new Set(taskIds)
-      const known = reply?.running.filter((taskId) => asked.has(taskId))
+      const requested = new Set(taskIds)
+      const knownTaskIds = reply?.running.filter((taskId) => requested.has(taskId))
       const boot = reply?.boot
       this.emit({
         kind: OwnerEventKind.LeasesRenewed,
         endpoint,
-        taskIds: taskIds,
-        knownTaskIds: known,
+        taskIds,
+        knownTaskIds,
         boot,
       })
     })
--- a/packages/owner/src/lib/endpoints/EndpointProbes.ts
+++ b/packages/owner/src/lib/endpoints/EndpointProbes.ts
@@ -12,10 +12,10 @@
 
   /** Probes an endpoint that has gone silent, and repeats failed probes. */
   check(now: number, record: EndpointRecord): void {
-    const { controlTimeoutMs: askTimeoutMs, suspectAfterMs } = this.ctx.timing
+    const { controlTimeoutMs, suspectAfterMs } = this.ctx.timing
     const sentAt = record.probeSentAt
     if (sentAt !== undefined) {
-      if (now - sentAt >= askTimeoutMs) this.onProbeEnded(now, record, false)
+      if (now - sentAt >= controlTimeoutMs) this.onProbeEnded(now, record, false)
       return
     }
     if (record.reach === EndpointReach.Unreachable) {
--- a/packages/owner/src/lib/recovery/LeaseManager.ts
+++ b/packages/owner/src/lib/recovery/LeaseManager.ts
@@ -35,26 +35,26 @@
     }
   }
 
-  /** Handles the answer to RenewLeases; `known` is undefined if the endpoint did not answer. */
+  /** Handles the answer to RenewLeases; `knownTaskIds` is undefined if the endpoint did not answer. */
   handleRenewal(
     now: number,
     record: EndpointRecord,
-    known: readonly string[] | undefined,
+    knownTaskIds: readonly string[] | undefined,
     boot: number | undefined,
   ): void {
-    const asked = record.renewalInFlight
-    if (asked === undefined) {
+    const taskIds = record.renewalInFlight
+    if (taskIds === undefined) {
       this.ctx.counters.lateAnswers++
       return
     }
     record.renewalInFlight = undefined
     record.scheduleCheck(now)
-    if (known === undefined) this.probes.suspect(now, record)
-    const running = new Set(known)
-    for (const taskId of asked) {
+    if (knownTaskIds === undefined) this.probes.suspect(now, record)
+    const running = new Set(knownTaskIds)
+    for (const taskId of taskIds) {
       const task = record.running.get(taskId)
       if (task === undefined) continue
-      if (known === undefined) this.recordUnansweredRenewal(now, record, task)
+      if (knownTaskIds === undefined) this.recordUnansweredRenewal(now, record, task)
       else if (running.has(taskId)) this.lost.confirmRunning(now, record, task, boot)
       else this.lost.handleNotRunning(now, task)
     }
@@ -139,11 +139,11 @@
 
   /** Treats requests without an answer event as failed, so that they can't block the endpoint. */
   private timeOutPendingRequests(now: number, record: EndpointRecord): void {
-    const { controlTimeoutMs: askTimeoutMs } = this.ctx.timing
-    if (record.renewalInFlight !== undefined && now - record.renewalSentAt >= askTimeoutMs) {
+    const { controlTimeoutMs } = this.ctx.timing
+    if (record.renewalInFlight !== undefined && now - record.renewalSentAt >= controlTimeoutMs) {
       this.handleRenewal(now, record, undefined, undefined)
     }
-    if (record.stopsInFlight !== undefined && now - record.stopsSentAt >= askTimeoutMs) {
+    if (record.stopsInFlight !== undefined && now - record.stopsSentAt >= controlTimeoutMs) {
       this.lost.handleStopResults(now, record, [], undefined)
     }
   }
