--- a/packages/coordinator/src/lib/CoordinatorMachine.random.test.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.random.test.ts
@@ -9,9 +9,9 @@
   for (const seed of [1, 2, 3]) {
     it(`the invariants of the coordinator hold (seed ${seed})`, () => {
       const property = fc.property(randomMoves, (moves) => {
-        const world = new CoordinatorSimulation()
-        for (const move of moves) world.move(move)
-        world.finish()
+        const simulation = new CoordinatorSimulation()
+        for (const move of moves) simulation.move(move)
+        simulation.finish()
       })
       fc.assert(property, { seed, numRuns: RUNS, endOnFailure: true })
     })
--- a/packages/coordinator/src/lib/CoordinatorMachine.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.ts
@@ -42,48 +42,53 @@
  */
 export class CoordinatorMachine extends StateMachine<CoordinatorEvent, CoordinatorAction> {
   private readonly context: CoordinatorContext
-  private readonly completion: JobEnding
-  private readonly jobIntake: SubmissionHandler
+  private readonly ending: JobEnding
+  private readonly submissions: SubmissionHandler
   private readonly keyedJobs: KeyedJobHandler
   private readonly claims: ClaimHandler
   private readonly queries: QueryHandler
-  private readonly forwarding: RequestForwarder
+  private readonly forwarder: RequestForwarder
   private readonly retries: RetryScheduler
   private readonly reports: ReportHandler
-  private readonly lossDetector: OwnerLossHandler
+  private readonly ownerLosses: OwnerLossHandler
   private readonly answerRecorder: AnswerRecorder
   private reportedDrained = false
 
   constructor(options: CoordinatorOptions) {
     super()
     this.context = createContext(options)
-    const flight = new TaskTracker(this.context)
-    const placement = new TaskPlacer(this.context, flight)
-    const completion = new JobEnding(this.context, flight)
-    this.completion = completion
-    this.jobIntake = new SubmissionHandler(this.context, placement, completion)
-    this.retries = new RetryScheduler(this.context, placement, completion)
-    this.reports = new ReportHandler(this.context, flight, this.retries, completion)
-    this.lossDetector = new OwnerLossHandler(
+    const tracker = new TaskTracker(this.context)
+    const placer = new TaskPlacer(this.context, tracker)
+    const ending = new JobEnding(this.context, tracker)
+    this.ending = ending
+    this.submissions = new SubmissionHandler(this.context, placer, ending)
+    this.retries = new RetryScheduler(this.context, placer, ending)
+    this.reports = new ReportHandler(this.context, tracker, this.retries, ending)
+    this.ownerLosses = new OwnerLossHandler(
       this.context,
-      flight,
+      tracker,
       this.reports,
       this.retries,
-      completion,
+      ending,
+    )
+    this.forwarder = new RequestForwarder(this.context)
+    this.claims = new ClaimHandler(this.context, this.submissions, ending, this.forwarder)
+    this.keyedJobs = new KeyedJobHandler(
+      this.context,
+      this.submissions,
+      this.claims,
+      this.forwarder,
     )
-    this.forwarding = new RequestForwarder(this.context)
-    this.claims = new ClaimHandler(this.context, this.jobIntake, completion, this.forwarding)
-    this.keyedJobs = new KeyedJobHandler(this.context, this.jobIntake, this.claims, this.forwarding)
     this.answerRecorder = new AnswerRecorder(this.context)
     const { answerRecorder } = this
     this.queries = new QueryHandler(
       this.context,
-      completion,
+      ending,
       this.claims,
-      this.forwarding,
+      this.forwarder,
       answerRecorder,
     )
-    completion.listen((now, job, answer, phaseBefore) => {
+    ending.listen((now, job, answer, phaseBefore) => {
       answerRecorder.onJobEnded(now, job, answer, phaseBefore)
     })
   }
@@ -120,8 +125,8 @@
 
   private takeActions(now: number): readonly CoordinatorAction[] {
     const isBusy =
-      this.context.jobs.size + this.forwarding.size + this.answerRecorder.unreadCount > 0
-    const hasDrained = this.jobIntake.draining && !this.reportedDrained && !isBusy
+      this.context.jobs.size + this.forwarder.size + this.answerRecorder.unreadCount > 0
+    const hasDrained = this.submissions.draining && !this.reportedDrained && !isBusy
     if (hasDrained) {
       this.reportedDrained = true
       this.context.outbox.drained()
@@ -155,7 +160,7 @@
         this.context.policies.apply(event.preset, event.version, event.current)
         return
       case CoordinatorEventKind.Drain:
-        this.jobIntake.draining = true
+        this.submissions.draining = true
         return
       default:
         exhaustive(event)
@@ -170,7 +175,7 @@
 
   private submitJob(now: number, request: SubmitRequest): void {
     this.context.counters.submitted++
-    if (request.spec.submissionKey === '') this.jobIntake.submit(now, request)
+    if (request.spec.submissionKey === '') this.submissions.submit(now, request)
     else this.keyedJobs.submit(now, request)
   }
 
@@ -180,7 +185,7 @@
         this.reports.handle(now, from, message.value)
         return
       case 'fenceReports':
-        this.lossDetector.handleFenceReports(now, from, message.value)
+        this.ownerLosses.handleFenceReports(now, from, message.value)
         return
       case 'forwardJob': {
         const { job: spec, requestId, respondAsync } = message.value
@@ -196,7 +201,7 @@
         return
       }
       case 'jobReply':
-        this.forwarding.handleReply(now, from, message.value)
+        this.forwarder.handleReply(now, from, message.value)
         return
       default:
         exhaustive(message)
@@ -206,11 +211,11 @@
   private updateMembers(now: number, event: EventOf<CoordinatorEventKind.Members>): void {
     const changes = this.context.members.update(now, event.members)
     for (const change of changes) {
-      this.lossDetector.handleMemberChange(now, change)
+      this.ownerLosses.handleMemberChange(now, change)
       if (change.kind !== MemberChangeKind.Restarted) continue
-      this.forwarding.handleRestart(now, change.instance, change.boot)
+      this.forwarder.handleRestart(now, change.instance, change.boot)
     }
-    this.lossDetector.confirmFences(now)
+    this.ownerLosses.confirmFences(now)
   }
 
   /**
@@ -222,26 +227,26 @@
     if (request === undefined) return
     this.context.counters.callersGone++
     if (request.forwardId !== undefined) {
-      this.forwarding.drop(request.forwardId)
+      this.forwarder.drop(request.forwardId)
       return
     }
     const job = this.context.jobs.get(request.sequence)
     if (job === undefined) return
     this.context.replies.detach(job, requestId)
     if (job.waiters.length > 0 || job.isKeyed || job.respondAsync) return
-    this.completion.cancel(now, job, callerGone)
+    this.ending.cancel(now, job, callerGone)
   }
 
   private handleTimer(now: number, timer: CoordinatorTimer): void {
     switch (timer.kind) {
       case TimerKind.Deadline:
         this.withJob(timer.sequence, (job) => {
-          this.completion.fail(now, job, deadlinePassed)
+          this.ending.fail(now, job, deadlinePassed)
         })
         return
       case TimerKind.CheckLateTasks:
         this.withJob(timer.sequence, (job) => {
-          this.lossDetector.checkLateTasks(now, job)
+          this.ownerLosses.checkLateTasks(now, job)
         })
         return
       case TimerKind.Retry:
@@ -250,10 +255,10 @@
         })
         return
       case TimerKind.OwnerLeasesExpired:
-        this.lossDetector.handleLeasesExpired(now, timer.owner, timer.boot)
+        this.ownerLosses.handleLeasesExpired(now, timer.owner, timer.boot)
         return
       case TimerKind.ForwardTimeout:
-        this.forwarding.checkTimeout(now, timer.forwardId)
+        this.forwarder.checkTimeout(now, timer.forwardId)
         return
       default:
         exhaustive(timer)
--- a/packages/coordinator/src/lib/forwarding/QueryHandler.ts
+++ b/packages/coordinator/src/lib/forwarding/QueryHandler.ts
@@ -41,7 +41,7 @@
     private readonly context: CoordinatorContext,
     private readonly ending: JobEnding,
     private readonly claims: ClaimHandler,
-    private readonly forwarding: RequestForwarder,
+    private readonly forwarder: RequestForwarder,
     private readonly answerRecorder: AnswerRecorder,
   ) {}
 
@@ -108,7 +108,7 @@
       replies.send(waiter, this.unreachableAnswer(jobId))
       return
     }
-    const forwardId = this.forwarding.forward(now, {
+    const forwardId = this.forwarder.forward(now, {
       target,
       body: (_at, requestId) => ({
         case: 'jobQuery',
--- a/packages/coordinator/src/lib/jobs/JobEnding.ts
+++ b/packages/coordinator/src/lib/jobs/JobEnding.ts
@@ -18,7 +18,7 @@
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskTracker,
+    private readonly tracker: TaskTracker,
   ) {}
 
   listen(listener: JobEndListener): void {
@@ -64,7 +64,7 @@
     job.phase = JobPhase.Ended
     const { outbox, jobs, replies } = this.context
     for (const waiter of job.waiters) replies.send(waiter, answer)
-    const owners = this.flight.abandon(now, job)
+    const owners = this.tracker.abandon(now, job)
     for (const owner of owners) outbox.cancel(owner, job.id, answer.reason)
     jobs.remove(job)
     outbox.span(jobSpan(job, now, answer.state === JobState.SUCCEEDED))
--- a/packages/coordinator/src/lib/jobs/SubmissionHandler.ts
+++ b/packages/coordinator/src/lib/jobs/SubmissionHandler.ts
@@ -33,7 +33,7 @@
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly placement: TaskPlacer,
+    private readonly placer: TaskPlacer,
     private readonly ending: JobEnding,
   ) {}
 
@@ -131,13 +131,13 @@
 
   /** Places all tasks of a job, or refuses it as a whole. */
   start(now: number, job: Job): void {
-    const routes = this.placement.route(now, job, job.tasks)
+    const routes = this.placer.route(now, job, job.tasks)
     if (routes === undefined) {
       const detail = 'No endpoint of a service that the job needs is known now.'
       this.ending.refuse(now, job, problem(Reason.NO_ENDPOINT, detail, NO_ENDPOINT_RETRY_MS))
       return
     }
-    this.placement.send(now, job, routes)
+    this.placer.send(now, job, routes)
     this.context.replies.answerAsync(job, runningAnswer(job, this.context.policies))
   }
 
--- a/packages/coordinator/src/lib/keys/ClaimHandler.ts
+++ b/packages/coordinator/src/lib/keys/ClaimHandler.ts
@@ -59,11 +59,11 @@
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly jobIntake: SubmissionHandler,
-    private readonly completion: JobEnding,
-    private readonly forwarding: RequestForwarder,
+    private readonly submissions: SubmissionHandler,
+    private readonly ending: JobEnding,
+    private readonly forwarder: RequestForwarder,
   ) {
-    completion.listen((now, job, answer, phaseBefore) => {
+    ending.listen((now, job, answer, phaseBefore) => {
       this.onJobEnded(now, job, answer, phaseBefore)
     })
   }
@@ -102,7 +102,7 @@
       this.applyVerdict(now, job, answer)
       return
     }
-    this.completion.refuse(now, job, noQuorum)
+    this.ending.refuse(now, job, noQuorum)
     this.resolveAbandoned(now, jobId, undefined, mayBeClaimed)
   }
 
@@ -123,18 +123,18 @@
         this.joinHolder(now, job, answer)
         return
       case ClaimVerdict.MISMATCH:
-        this.completion.refuse(now, job, keyReused)
+        this.ending.refuse(now, job, keyReused)
         this.abandoned.delete(job.id)
         return
       case ClaimVerdict.FULL:
-        this.completion.refuse(now, job, claimsFull)
+        this.ending.refuse(now, job, claimsFull)
         this.abandoned.delete(job.id)
         return
       case ClaimVerdict.UNSPECIFIED:
       default:
         // An unknown verdict may mean that the claim was committed. Releasing the key ensures that
         // the refused job stays not run.
-        this.completion.refuse(now, job, noQuorum)
+        this.ending.refuse(now, job, noQuorum)
         this.resolveAbandoned(now, job.id, undefined, true)
     }
   }
@@ -142,13 +142,13 @@
   private dispatch(now: number, job: Job): void {
     job.phase = JobPhase.Running
     job.claimed = true
-    this.jobIntake.start(now, job)
+    this.submissions.start(now, job)
   }
 
   /** Another job holds the key, so this job ends with that job's answer. */
   private joinHolder(now: number, job: Job, answer: ClaimAnswer): void {
     if (answer.state === ClaimState.UNSPECIFIED) {
-      this.completion.refuse(now, job, noQuorum)
+      this.ending.refuse(now, job, noQuorum)
       this.abandoned.delete(job.id)
       return
     }
@@ -161,7 +161,7 @@
     const holder = parseJobId(answer.jobId)
     const { options, members } = this.context
     if (holder === undefined || !members.isAliveInBoot(holder.coordinator, holder.boot)) {
-      this.completion.fail(now, job, outcomeUnknown)
+      this.ending.fail(now, job, outcomeUnknown)
     } else if (holder.coordinator === options.instance) {
       this.joinLocal(now, job, answer.jobId, holder.sequence)
     } else this.joinRemote(now, job, answer.jobId, holder.coordinator)
@@ -169,8 +169,8 @@
 
   private endWithStoredAnswer(now: number, job: Job, bytes: Uint8Array): void {
     const stored = decodeAnswer(bytes)
-    if (stored === undefined) this.completion.fail(now, job, outcomeUnknown)
-    else this.completion.endWith(now, job, stored)
+    if (stored === undefined) this.ending.fail(now, job, outcomeUnknown)
+    else this.ending.endWith(now, job, stored)
   }
 
   private joinLocal(now: number, job: Job, holderId: string, sequence: number): void {
@@ -180,12 +180,12 @@
       job.joinedId = holderId
       replies.answerAsync(job, runningAnswer(job, policies))
       replies.move(job, holder)
-      this.completion.discard(job)
+      this.ending.discard(job)
       return
     }
     const stored = answers.get(now, holderId)?.answer ?? this.abandonedAnswer(holderId, job.caller)
-    if (stored === undefined) this.completion.fail(now, job, outcomeUnknown)
-    else this.completion.endWith(now, job, stored)
+    if (stored === undefined) this.ending.fail(now, job, outcomeUnknown)
+    else this.ending.endWith(now, job, stored)
   }
 
   private joinRemote(now: number, job: Job, holderId: string, target: string): void {
@@ -194,16 +194,16 @@
     job.joinedId = holderId
     replies.answerAsync(job, runningAnswer(job, policies))
     if (job.waiters.length === 0) {
-      this.completion.discard(job)
+      this.ending.discard(job)
       return
     }
     const finish = (at: number, answer: JobAnswer | undefined): void => {
       // The job may have ended in the meantime, for example at its deadline.
       if (jobs.get(sequence) !== job) return
-      if (answer === undefined) this.completion.fail(at, job, outcomeUnknown)
-      else this.completion.endWith(at, job, answer)
+      if (answer === undefined) this.ending.fail(at, job, outcomeUnknown)
+      else this.ending.endWith(at, job, answer)
     }
-    this.forwarding.forward(now, {
+    this.forwarder.forward(now, {
       target,
       body: (_at, requestId) => ({
         case: 'jobQuery',
--- a/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
+++ b/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
@@ -44,9 +44,9 @@
 export class KeyedJobHandler {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly jobIntake: SubmissionHandler,
+    private readonly submissions: SubmissionHandler,
     private readonly claims: ClaimHandler,
-    private readonly forwarding: RequestForwarder,
+    private readonly forwarder: RequestForwarder,
   ) {}
 
   submit(now: number, request: SubmitRequest): void {
@@ -54,14 +54,14 @@
     const hash = contentHash(spec)
     const entry = this.context.keys.get(formatKeyId(spec.caller, spec.submissionKey))
     if (entry !== undefined && this.tryAnswer(now, request, entry, hash)) return
-    if (spec.idempotent && !this.jobIntake.draining && this.tryForward(now, request, [])) return
+    if (spec.idempotent && !this.submissions.draining && this.tryForward(now, request, [])) return
     this.admitLocally(now, request, hash)
   }
 
   /** Makes this instance the coordinator of the job. */
   private admitLocally(now: number, request: SubmitRequest, hash: string): void {
     const { spec } = request
-    const job = this.jobIntake.admit(now, request, hash)
+    const job = this.submissions.admit(now, request, hash)
     if (job === undefined) return
     this.context.keys.put(formatKeyId(spec.caller, spec.submissionKey), {
       jobId: job.id,
@@ -71,7 +71,7 @@
       answersAnyResend: false,
       repliedTo: [],
     })
-    if (spec.idempotent) this.jobIntake.start(now, job)
+    if (spec.idempotent) this.submissions.start(now, job)
     else this.claims.requestClaim(now, job)
   }
 
@@ -83,7 +83,7 @@
     const kept = answers.get(now, entry.jobId)
     if (job === undefined && kept === undefined) return false
     if (entry.contentHash !== hash) {
-      this.jobIntake.refuseUnopened(request, keyReused)
+      this.submissions.refuseUnopened(request, keyReused)
       return true
     }
     this.context.counters.keyHits++
@@ -116,7 +116,7 @@
     const candidates = members.serving.filter((name) => !excluded.includes(name))
     const target = pickOwner(formatKeyId(spec.caller, spec.submissionKey), candidates)
     if (target === undefined || target === options.instance) return false
-    const deadlineAt = now + this.jobIntake.deadlineInMs(spec)
+    const deadlineAt = now + this.submissions.deadlineInMs(spec)
     const traceparent = deriveTraceparent(
       spec.traceparent,
       `${options.instance}/${options.boot}/${now}/${waiter.requestId}`,
@@ -125,7 +125,7 @@
       this.recordSpan(now, at, spec, traceparent, target, false)
       replies.send(waiter, unknownAnswer('', cause, this.context.policies))
     }
-    const forwardId = this.forwarding.forward(now, {
+    const forwardId = this.forwarder.forward(now, {
       target,
       body: (at, requestId) => {
         const job = withRemainingTime(spec, deadlineAt - at, traceparent)
--- a/packages/coordinator/src/lib/placement/OwnerLossHandler.ts
+++ b/packages/coordinator/src/lib/placement/OwnerLossHandler.ts
@@ -43,7 +43,7 @@
 
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskTracker,
+    private readonly tracker: TaskTracker,
     private readonly reports: ReportHandler,
     private readonly retries: RetryScheduler,
     private readonly ending: JobEnding,
@@ -120,7 +120,7 @@
       if (task.placement !== undefined && task.placement.owner !== from) {
         avoidOwner(task, task.placement.owner)
       }
-      this.flight.passOn(now, task, adopted)
+      this.tracker.passOn(now, task, adopted)
     }
     this.retryNotRun(now, job, notRun, from)
   }
@@ -151,7 +151,7 @@
 
   private retryNotRun(now: number, job: Job, tasks: readonly TaskRecord[], from: string): void {
     if (tasks.length === 0) return
-    for (const task of tasks) this.flight.markNotRun(now, task, from)
+    for (const task of tasks) this.tracker.markNotRun(now, task, from)
     this.retries.retryOrFail(now, job, tasks, neverSeen)
   }
 
@@ -188,7 +188,7 @@
    */
   private awaitLeaseExpiry(now: number, task: TaskRecord, { owner, spanId }: Placement): void {
     const { timers, timing } = this.context
-    this.flight.passOn(now, task, adoptedPlacement(now, owner, NO_BOOT, spanId))
+    this.tracker.passOn(now, task, adoptedPlacement(now, owner, NO_BOOT, spanId))
     const at = now + timing.leaseMs + timing.leaseMarginMs
     timers.schedule(at, { kind: TimerKind.OwnerLeasesExpired, owner, boot: NO_BOOT })
   }
@@ -208,7 +208,7 @@
     const lost = tasks.filter((task) => task.phase === TaskPhase.InFlight)
     this.context.counters.tasksLost += lost.length
     for (const [job, group] of groupBy(lost, (task) => task.job)) {
-      for (const task of group) this.flight.fail(now, task)
+      for (const task of group) this.tracker.fail(now, task)
       this.ending.fail(now, job, ownerLost)
     }
   }
--- a/packages/coordinator/src/lib/placement/ReportHandler.ts
+++ b/packages/coordinator/src/lib/placement/ReportHandler.ts
@@ -20,7 +20,7 @@
 export class ReportHandler {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskTracker,
+    private readonly tracker: TaskTracker,
     private readonly retries: RetryScheduler,
     private readonly ending: JobEnding,
   ) {}
@@ -52,11 +52,11 @@
       const task = this.findTask(job, from, report)
       if (task === undefined) continue
       if (report.outcome === Outcome.NOT_RUN) {
-        this.flight.markNotRun(now, task, from)
+        this.tracker.markNotRun(now, task, from)
         notRun.push({ task, report })
       } else if (report.outcome === Outcome.SUCCEEDED) this.succeed(now, task, report)
       else {
-        this.flight.fail(now, task)
+        this.tracker.fail(now, task)
         failure ??= failureOf(report)
       }
     }
@@ -77,7 +77,7 @@
   }
 
   private succeed(now: number, task: TaskRecord, report: TaskReport): void {
-    this.flight.succeed(now, task, report.output)
+    this.tracker.succeed(now, task, report.output)
     const spec = task.job.spec.tasks[task.index]
     if (spec === undefined || report.runMs <= 0) return
     this.context.policies.estimator.observe(
--- a/packages/coordinator/src/lib/placement/RetryScheduler.ts
+++ b/packages/coordinator/src/lib/placement/RetryScheduler.ts
@@ -42,7 +42,7 @@
 export class RetryScheduler {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly placement: TaskPlacer,
+    private readonly placer: TaskPlacer,
     private readonly ending: JobEnding,
   ) {}
 
@@ -89,10 +89,10 @@
     const waiting = indexes.flatMap((index) => job.tasks[index] ?? []).filter(isWaiting)
     const groups = groupBy(waiting, (task) => task.refusedBy.join(' '))
     for (const group of groups.values()) {
-      const routes = this.placement.route(now, job, group)
+      const routes = this.placer.route(now, job, group)
       if (routes !== undefined) {
         this.context.counters.tasksPlacedAgain += group.length
-        this.placement.send(now, job, routes)
+        this.placer.send(now, job, routes)
       } else if (now + OWNER_RECHECK_MS < Math.min(giveUpAt, job.deadlineAt)) {
         const indexesLeft = group.map((task) => task.index)
         this.schedule(now + OWNER_RECHECK_MS, job, indexesLeft, giveUpAt)
--- a/packages/coordinator/src/lib/placement/TaskPlacer.ts
+++ b/packages/coordinator/src/lib/placement/TaskPlacer.ts
@@ -22,7 +22,7 @@
 export class TaskPlacer {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskTracker,
+    private readonly tracker: TaskTracker,
   ) {}
 
   /** @returns undefined when any of the tasks has no eligible owner */
@@ -56,7 +56,7 @@
     const traceparent = deriveTraceparent(job.traceparent, `${job.id}/place/${job.placements++}`)
     const spanId = parseTraceparent(traceparent)?.spanId ?? ''
     const placement = newPlacement(now, owner, members.bootOf(owner), spanId)
-    for (const task of tasks) this.flight.place(now, task, placement)
+    for (const task of tasks) this.tracker.place(now, task, placement)
     const value = create(PlaceTasksSchema, {
       jobId: job.id,
       caller: job.caller,
--- a/packages/owner/src/lib/OwnerContext.ts
+++ b/packages/owner/src/lib/OwnerContext.ts
@@ -25,8 +25,8 @@
   readonly zone: string
   readonly timing: OwnerTiming
   readonly limits: OwnerLimits
-  readonly book = new TaskRegistry()
-  readonly memory: TaskHistory
+  readonly registry = new TaskRegistry()
+  readonly history: TaskHistory
   readonly outbox = new Outbox()
   readonly counters = newOwnerCounters()
   readonly ownership: OwnershipView
@@ -53,7 +53,7 @@
     this.zone = options.zone
     this.timing = { ...defaultOwnerTiming, ...options.timing }
     this.limits = { ...defaultOwnerLimits, ...options.limits }
-    this.memory = new TaskHistory({
+    this.history = new TaskHistory({
       retentionMs: this.timing.rememberMs,
       maxTasks: this.limits.rememberedTasks,
       maxOutputLength: this.limits.rememberedOutputChars,
--- a/packages/owner/src/lib/OwnerMachine.test.ts
+++ b/packages/owner/src/lib/OwnerMachine.test.ts
@@ -35,11 +35,11 @@
   it('starts no task twice, and reports each placed task once and with its true outcome', () => {
     const step = fc.record({ name: fc.constantFrom(...steps), draw: fc.nat(10_000) })
     const run = fc.property(fc.array(step, { minLength: 20, maxLength: 200 }), (sequence) => {
-      const world = new OwnerSimulation()
-      for (const { name, draw } of sequence) world[name](draw)
-      world.settle()
-      assert.equal(world.owner.machine.tasks, 0)
-      world.check()
+      const simulation = new OwnerSimulation()
+      for (const { name, draw } of sequence) simulation[name](draw)
+      simulation.settle()
+      assert.equal(simulation.owner.machine.tasks, 0)
+      simulation.check()
     })
     fc.assert(run, { seed: SEED, numRuns: RUNS })
   })
--- a/packages/owner/src/lib/OwnerMachine.ts
+++ b/packages/owner/src/lib/OwnerMachine.ts
@@ -42,8 +42,8 @@
   private readonly notRun: NotRunHandler
   private readonly probes: EndpointProbes
   private readonly directory: EndpointDirectory
-  private readonly answers: RunResultHandler
-  private readonly lost: LostTaskRecovery
+  private readonly runResults: RunResultHandler
+  private readonly recovery: LostTaskRecovery
   private readonly leases: LeaseManager
   private readonly handOver: HandOver
   private readonly queues: QueueMover
@@ -57,19 +57,19 @@
   constructor(options: OwnerMachineOptions) {
     super()
     const ctx = new OwnerContext(options)
-    const ends = new TaskSettler(ctx)
+    const settler = new TaskSettler(ctx)
     this.ctx = ctx
-    this.dispatcher = new Dispatcher(ctx, ends)
-    this.notRun = new NotRunHandler(ctx, ends, this.dispatcher)
+    this.dispatcher = new Dispatcher(ctx, settler)
+    this.notRun = new NotRunHandler(ctx, settler, this.dispatcher)
     this.probes = new EndpointProbes(ctx)
-    this.directory = new EndpointDirectory(ctx, ends, this.notRun)
-    this.answers = new RunResultHandler(ctx, ends, this.notRun, this.probes)
-    this.lost = new LostTaskRecovery(ctx, ends, this.notRun, this.dispatcher, this.probes)
-    this.leases = new LeaseManager(ctx, ends, this.lost, this.probes)
+    this.directory = new EndpointDirectory(ctx, settler, this.notRun)
+    this.runResults = new RunResultHandler(ctx, settler, this.notRun, this.probes)
+    this.recovery = new LostTaskRecovery(ctx, settler, this.notRun, this.dispatcher, this.probes)
+    this.leases = new LeaseManager(ctx, settler, this.recovery, this.probes)
     this.handOver = new HandOver(ctx, this.directory)
-    this.queues = new QueueMover(ctx, ends)
-    this.placement = new Placement(ctx, ends, this.dispatcher)
-    this.cancellation = new Cancellation(ctx, ends)
+    this.queues = new QueueMover(ctx, settler)
+    this.placement = new Placement(ctx, settler, this.dispatcher)
+    this.cancellation = new Cancellation(ctx, settler)
     this.fencing = new Fencing(ctx)
     this.coordinators = new CoordinatorWatch(ctx, this.cancellation)
     this.serviceSummaries = new ServiceSummaries(ctx)
@@ -90,7 +90,7 @@
     this.notRun.tick(now)
     this.coordinators.tick(now)
     for (const pool of [...this.ctx.pools.values()]) this.tickPool(now, pool)
-    this.ctx.memory.expire(now)
+    this.ctx.history.expire(now)
     if (this.serviceSummaries.hasChangedSignificantly(now)) {
       this.ctx.outbox.push({ kind: OwnerActionKind.SummaryChanged })
     }
@@ -113,7 +113,7 @@
 
   /** Tasks that are queued or dispatched here. */
   get tasks(): number {
-    return this.ctx.book.size
+    return this.ctx.registry.size
   }
 
   /** The instance that should get an endpoint's heartbeats; undefined if none is known. */
@@ -131,7 +131,7 @@
         this.handleMessage(now, event.from, event.message)
         return
       case OwnerEventKind.RunEnded:
-        this.answers.handleRunEnded(now, event)
+        this.runResults.handleRunEnded(now, event)
         return
       case OwnerEventKind.StopEnded:
       case OwnerEventKind.LeasesRenewed:
@@ -193,7 +193,7 @@
     const record = this.ctx.endpoints.get(event.endpoint)
     if (record === undefined) this.ctx.counters.lateAnswers++
     else if (event.kind === OwnerEventKind.StopEnded) {
-      this.lost.handleStopResults(now, record, event.results, event.boot)
+      this.recovery.handleStopResults(now, record, event.results, event.boot)
     } else if (event.kind === OwnerEventKind.LeasesRenewed) {
       this.leases.handleRenewal(now, record, event.knownTaskIds, event.boot)
     } else this.probes.onProbeEnded(now, record, event.alive)
@@ -224,9 +224,9 @@
   private finish(now: number): readonly OwnerAction[] {
     this.queues.run(now)
     this.dispatcher.run(now)
-    this.lost.sendStops(now)
+    this.recovery.sendStops(now)
     this.handOver.sendReleases()
-    if (this.ctx.draining && !this.drained && this.ctx.book.size === 0) {
+    if (this.ctx.draining && !this.drained && this.ctx.registry.size === 0) {
       this.drained = true
       this.ctx.outbox.push({ kind: OwnerActionKind.Drained })
     }
--- a/packages/owner/src/lib/dispatch/Dispatcher.ts
+++ b/packages/owner/src/lib/dispatch/Dispatcher.ts
@@ -30,7 +30,7 @@
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
   ) {}
 
   enqueue(now: number, task: TaskRecord): void {
@@ -79,7 +79,7 @@
   /** Ends a queued task whose deadline has passed. */
   expire(now: number, task: TaskRecord): void {
     this.ctx.counters.expiredQueued++
-    this.ends.settle(now, task, {
+    this.settler.settle(now, task, {
       outcome: Outcome.NOT_RUN,
       reason: Reason.DEADLINE_PASSED,
       detail: 'The deadline passed while the task was queued.',
--- a/packages/owner/src/lib/endpoints/EndpointDirectory.ts
+++ b/packages/owner/src/lib/endpoints/EndpointDirectory.ts
@@ -26,7 +26,7 @@
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
     private readonly notRun: NotRunHandler,
   ) {}
 
@@ -137,7 +137,7 @@
 
   private endAfterRestart(now: number, record: EndpointRecord, task: TaskRecord): void {
     if (task.phase !== TaskPhase.Running) {
-      this.ends.settle(now, task, restartedEnd)
+      this.settler.settle(now, task, restartedEnd)
       return
     }
     // The request may have found the old process gone, which means "not run", or the new one.
@@ -181,7 +181,7 @@
     const running = record.announcement.runningTaskIds
     for (const taskId of running) {
       if (record.running.has(taskId)) continue
-      if (this.ctx.memory.get(taskId)?.released === true) continue
+      if (this.ctx.history.get(taskId)?.released === true) continue
       record.heldSlots.set(taskId, { until, listed: true })
     }
     if (record.heldSlots.size === 0) return
--- a/packages/owner/src/lib/handover/QueueMover.ts
+++ b/packages/owner/src/lib/handover/QueueMover.ts
@@ -18,7 +18,7 @@
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
   ) {}
 
   run(now: number): void {
@@ -32,7 +32,7 @@
   refuseAll(now: number, pool: ServicePool, reason: Reason, detail: string): void {
     const retryAfterMs = this.ctx.timing.heartbeatMs
     for (const task of takeAll(pool)) {
-      this.ends.settle(now, task, { outcome: Outcome.NOT_RUN, reason, detail, retryAfterMs })
+      this.settler.settle(now, task, { outcome: Outcome.NOT_RUN, reason, detail, retryAfterMs })
     }
   }
 
@@ -53,8 +53,8 @@
   /** Removes the tasks here before sending them, so that only one owner has them queued. */
   private forward(now: number, target: string, job: JobRecord, tasks: readonly TaskRecord[]): void {
     this.ctx.counters.tasksPassedOn += tasks.length
-    for (const task of tasks) this.rememberForwarded(now, task, target)
-    this.ctx.memory.recordPassedOnJob(now, job.jobId, target)
+    for (const task of tasks) this.recordForwarded(now, task, target)
+    this.ctx.history.recordPassedOnJob(now, job.jobId, target)
     const deadlineAt = Math.min(...tasks.map((task) => task.deadlineAt))
     this.ctx.outbox.send(target, {
       case: 'placeTasks',
@@ -72,9 +72,9 @@
     })
   }
 
-  private rememberForwarded(now: number, task: TaskRecord, target: string): void {
-    this.ctx.book.remove(task)
-    this.ctx.memory.record({
+  private recordForwarded(now: number, task: TaskRecord, target: string): void {
+    this.ctx.registry.remove(task)
+    this.ctx.history.record({
       taskId: task.taskId,
       at: now,
       attempt: task.attempt,
--- a/packages/owner/src/lib/intake/Cancellation.ts
+++ b/packages/owner/src/lib/intake/Cancellation.ts
@@ -10,7 +10,7 @@
 export class Cancellation {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
   ) {}
 
   cancel(now: number, from: string, cancel: CancelTasks): void {
@@ -19,7 +19,7 @@
       this.cancelJob(now, cancelled)
       // Only a message from the coordinator itself is forwarded, so that none can loop.
       if (parseJobId(cancelled.jobId)?.coordinator !== from) continue
-      for (const owner of this.ctx.memory.passedTo(cancelled.jobId)) {
+      for (const owner of this.ctx.history.passedTo(cancelled.jobId)) {
         const jobs = forwarded.get(owner)
         if (jobs === undefined) forwarded.set(owner, [cancelled])
         else jobs.push(cancelled)
@@ -39,8 +39,8 @@
 
   private cancelJob(now: number, cancelled: CancelledJob): void {
     const isWholeJob = cancelled.indexes.length === 0
-    if (isWholeJob) this.ctx.memory.recordCancelledJob(now, cancelled.jobId)
-    const job = this.ctx.book.job(cancelled.jobId)
+    if (isWholeJob) this.ctx.history.recordCancelledJob(now, cancelled.jobId)
+    const job = this.ctx.registry.job(cancelled.jobId)
     if (job === undefined) return
     const indexes = isWholeJob ? [...job.tasks.keys()] : cancelled.indexes
     for (const index of indexes) {
@@ -62,14 +62,14 @@
     if (task.phase === TaskPhase.Delayed) pool.delayedTasks--
     else pool.queue.remove(task.taskId)
     const end = { outcome: Outcome.NOT_RUN, reason, detail: 'It was cancelled while queued.' }
-    this.ends.closeWithoutReport(now, task, end)
-    this.ends.settle(now, task, end)
+    this.settler.closeWithoutReport(now, task, end)
+    this.settler.settle(now, task, end)
   }
 
   private cancelRunning(now: number, task: TaskRecord, reason: Reason): void {
     this.ctx.counters.cancelledRunning++
     const detail = 'It was cancelled after it was dispatched.'
-    this.ends.closeWithoutReport(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
+    this.settler.closeWithoutReport(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
     this.ctx.stop(task)
   }
 }
--- a/packages/owner/src/lib/intake/CoordinatorWatch.ts
+++ b/packages/owner/src/lib/intake/CoordinatorWatch.ts
@@ -19,7 +19,7 @@
 
   membersChanged(now: number, members: readonly InstanceView[]): void {
     const known = new Map(members.map((member) => [member.instance, member]))
-    for (const coordinator of [...this.ctx.book.coordinatorNames()]) {
+    for (const coordinator of [...this.ctx.registry.coordinatorNames()]) {
       const view = known.get(coordinator)
       if (view !== undefined) this.cancelJobsOfOldBoots(now, view)
       if (view?.alive === true || view?.self === true) this.silentSince.delete(coordinator)
@@ -33,14 +33,14 @@
     for (const [coordinator, since] of this.silentSince) {
       if (now - since < this.ctx.timing.coordinatorTimeoutMs) continue
       this.silentSince.delete(coordinator)
-      const jobs = this.ctx.book.jobsOf(coordinator)
+      const jobs = this.ctx.registry.jobsOf(coordinator)
       if (jobs.length > 0) this.ctx.counters.coordinatorsLost++
       for (const job of jobs) this.cancellation.cancelOrphanedJob(now, job)
     }
   }
 
   private cancelJobsOfOldBoots(now: number, view: InstanceView): void {
-    const oldJobs = this.ctx.book.jobsOf(view.instance).filter((job) => {
+    const oldJobs = this.ctx.registry.jobsOf(view.instance).filter((job) => {
       const boot = parseJobId(job.jobId)?.boot
       return boot !== undefined && boot < view.boot
     })
--- a/packages/owner/src/lib/intake/Fencing.ts
+++ b/packages/owner/src/lib/intake/Fencing.ts
@@ -21,11 +21,11 @@
     const reports: FenceReport[] = []
     const forwarded = new Map<string, number[]>()
     for (const index of fence.indexes) {
-      const remembered = this.ctx.memory.get(formatTaskId(fence.jobId, index))
-      if (remembered?.passedTo !== undefined) {
+      const entry = this.ctx.history.get(formatTaskId(fence.jobId, index))
+      if (entry?.passedTo !== undefined) {
         // Each new owner reported itself to the coordinator, so a request is forwarded only once.
         if (from !== requester) continue
-        forwarded.set(remembered.passedTo, [...(forwarded.get(remembered.passedTo) ?? []), index])
+        forwarded.set(entry.passedTo, [...(forwarded.get(entry.passedTo) ?? []), index])
       } else {
         const state = this.fenceTask(now, requester, fence.jobId, index)
         reports.push(create(FenceReportSchema, { index, state }))
@@ -42,15 +42,15 @@
 
   private fenceTask(now: number, requester: string, jobId: string, index: number): FenceState {
     const taskId = formatTaskId(jobId, index)
-    const task = this.ctx.book.get(taskId)
+    const task = this.ctx.registry.get(taskId)
     if (task !== undefined && !task.reportClosed) return FenceState.IN_PROGRESS
-    const remembered = this.ctx.memory.get(taskId)
-    if (remembered === undefined) {
-      this.ctx.memory.record(makeFencedTask(now, taskId, requester))
+    const entry = this.ctx.history.get(taskId)
+    if (entry === undefined) {
+      this.ctx.history.record(makeFencedTask(now, taskId, requester))
       return FenceState.NEVER_SEEN
     }
-    if (remembered.attempt === Infinity) return FenceState.NEVER_SEEN
-    this.resendReport(requester, jobId, index, remembered)
+    if (entry.attempt === Infinity) return FenceState.NEVER_SEEN
+    this.resendReport(requester, jobId, index, entry)
     return FenceState.ENDED
   }
 
@@ -58,13 +58,13 @@
     requester: string,
     jobId: string,
     index: number,
-    remembered: TaskHistoryEntry,
+    entry: TaskHistoryEntry,
   ): void {
     const report =
-      remembered.report ??
+      entry.report ??
       create(TaskReportSchema, {
         index,
-        outcome: remembered.notRun ? Outcome.NOT_RUN : Outcome.UNKNOWN,
+        outcome: entry.notRun ? Outcome.NOT_RUN : Outcome.UNKNOWN,
         reason: Reason.ENDPOINT_LOST,
         detail: 'It ended, and its answer is not kept any more.',
       })
--- a/packages/owner/src/lib/intake/Placement.ts
+++ b/packages/owner/src/lib/intake/Placement.ts
@@ -14,7 +14,7 @@
 export class Placement {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
     private readonly dispatcher: Dispatcher,
   ) {}
 
@@ -23,7 +23,7 @@
       this.ctx.counters.misdirectedPlacements += placement.tasks.length
       return
     }
-    if (this.ctx.memory.isCancelled(placement.jobId)) {
+    if (this.ctx.history.isCancelled(placement.jobId)) {
       this.ctx.counters.fencedPlacements += placement.tasks.length
       return
     }
@@ -34,7 +34,7 @@
       this.shouldQueue(jobId, placed, isForwarded),
     )
     if (accepted.length === 0) return
-    const job = this.ctx.book.openJob(placement, coordinator)
+    const job = this.ctx.registry.openJob(placement, coordinator)
     const deadlineAt = now + placement.deadlineInMs
     const tasks = accepted.map((placed) => makeTask(now, job, placed, deadlineAt))
     this.ctx.counters.placed += tasks.length
@@ -43,22 +43,21 @@
     for (const [service, group] of groupBy(tasks, (task) => task.service)) {
       this.enqueueOrRefuse(now, service, group, isForwarded)
     }
-    this.ctx.book.closeJob(job)
+    this.ctx.registry.closeJob(job)
   }
 
   /** Whether a placed task is neither fenced nor a duplicate. */
   private shouldQueue(jobId: string, placed: PlacedTask, isForwarded: boolean): boolean {
     const taskId = formatTaskId(jobId, placed.index)
-    const remembered = this.ctx.memory.get(taskId)
-    if (remembered?.attempt === Infinity) {
+    const entry = this.ctx.history.get(taskId)
+    if (entry?.attempt === Infinity) {
       this.ctx.counters.fencedPlacements++
       return false
     }
-    const isKnownHere = this.ctx.book.get(taskId) !== undefined
+    const isKnownHere = this.ctx.registry.get(taskId) !== undefined
     // A task that was forwarded may come back, from whichever owner had it last.
-    const isReturned = isForwarded && remembered?.passedTo !== undefined
-    const isNewAttempt =
-      remembered === undefined || (remembered.notRun && placed.attempt > remembered.attempt)
+    const isReturned = isForwarded && entry?.passedTo !== undefined
+    const isNewAttempt = entry === undefined || (entry.notRun && placed.attempt > entry.attempt)
     if (!isKnownHere && (isReturned || isNewAttempt)) return true
     this.ctx.counters.duplicatePlacements++
     return false
@@ -82,14 +81,14 @@
     for (const task of tasks) {
       const end = refusal ?? refusalOfTask(now, pool, task)
       if (end === undefined) this.enqueue(now, task)
-      else this.ends.settle(now, task, end)
+      else this.settler.settle(now, task, end)
     }
     if (pool.isEmpty) this.ctx.pools.delete(service)
   }
 
   private enqueue(now: number, task: TaskRecord): void {
-    this.ctx.memory.forget(task.taskId)
-    this.ctx.book.add(task)
+    this.ctx.history.forget(task.taskId)
+    this.ctx.registry.add(task)
     this.dispatcher.enqueue(now, task)
   }
 
--- a/packages/owner/src/lib/outcomes/NotRunHandler.ts
+++ b/packages/owner/src/lib/outcomes/NotRunHandler.ts
@@ -23,7 +23,7 @@
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
     private readonly dispatcher: Dispatcher,
   ) {}
 
@@ -54,13 +54,13 @@
 
   private retryOrSettle(now: number, task: TaskRecord, detail: string): void {
     if (task.reportClosed) {
-      this.ends.settle(now, task, { outcome: Outcome.NOT_RUN })
+      this.settler.settle(now, task, { outcome: Outcome.NOT_RUN })
       return
     }
-    this.ends.release(now, task, false)
+    this.settler.release(now, task, false)
     const delay = this.delayBeforeRetry(now, task)
     if (typeof delay === 'number') this.retry(now, task, delay)
-    else this.ends.settle(now, task, { outcome: Outcome.NOT_RUN, ...delay, detail })
+    else this.settler.settle(now, task, { outcome: Outcome.NOT_RUN, ...delay, detail })
   }
 
   /** @returns the delay in milliseconds, or the reason why the task is not retried */
--- a/packages/owner/src/lib/outcomes/RunResultHandler.ts
+++ b/packages/owner/src/lib/outcomes/RunResultHandler.ts
@@ -24,7 +24,7 @@
 export class RunResultHandler {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
     private readonly notRun: NotRunHandler,
     private readonly probes: EndpointProbes,
   ) {}
@@ -32,7 +32,7 @@
   handleRunEnded(now: number, end: RunCompletion): void {
     const record = this.ctx.endpoints.get(end.endpoint)
     if (record?.openRuns.delete(end.run) === true) this.ctx.refresh(record)
-    const task = this.ctx.book.get(end.taskId)
+    const task = this.ctx.registry.get(end.taskId)
     if (record === undefined || task?.endpoint !== record || !task.closeRequest(end.run)) {
       this.ctx.counters.lateAnswers++
       return
@@ -80,7 +80,7 @@
     const pool = this.ctx.pools.get(task.service)
     pool?.recordRun(now, record.endpoint, result.runMs, task.estimateMs)
     const { output, runMs } = result
-    this.ends.settle(now, task, { outcome: Outcome.SUCCEEDED, output, runMs })
+    this.settler.settle(now, task, { outcome: Outcome.SUCCEEDED, output, runMs })
   }
 
   private handleFailure(
@@ -96,7 +96,7 @@
       this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.TaskFailed)
     const { detail, runMs } = result
     const reason = stopped ? Reason.DEADLINE_PASSED : Reason.TASK_FAILED
-    this.ends.settle(now, task, { outcome: Outcome.FAILED, reason, detail, runMs })
+    this.settler.settle(now, task, { outcome: Outcome.FAILED, reason, detail, runMs })
   }
 
   private handleRefusal(
@@ -118,7 +118,7 @@
 
   private settleUnknown(now: number, task: TaskRecord, detail: string): void {
     const reason = Reason.ENDPOINT_LOST
-    this.ends.settle(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
+    this.settler.settle(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
   }
 
   /** The request broke without an answer: the endpoint is queried before the task is settled. */
@@ -128,7 +128,7 @@
       this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.Lost)
     this.probes.suspect(now, record)
     if (task.fallbackEnd !== undefined) {
-      this.ends.settle(now, task, task.fallbackEnd.end)
+      this.settler.settle(now, task, task.fallbackEnd.end)
       return
     }
     if (task.phase !== TaskPhase.Running) return
--- a/packages/owner/src/lib/outcomes/TaskSettler.ts
+++ b/packages/owner/src/lib/outcomes/TaskSettler.ts
@@ -49,16 +49,16 @@
   private removeTask(now: number, task: TaskRecord, end: TaskResult): void {
     const record = task.endpoint
     this.release(now, task, end.outcome === Outcome.SUCCEEDED)
-    this.ctx.book.remove(task)
+    this.ctx.registry.remove(task)
     if (record === undefined) return
-    const entry = this.ctx.memory.get(task.taskId)
+    const entry = this.ctx.history.get(task.taskId)
     if (entry !== undefined) entry.released = end.released ?? true
   }
 
   private closeReport(now: number, task: TaskRecord, end: TaskResult, report: TaskReport): void {
     task.reportClosed = true
     this.updateJobProgress(task, end)
-    this.ctx.memory.record({
+    this.ctx.history.record({
       taskId: task.taskId,
       at: now,
       attempt: task.attempt,
--- a/packages/owner/src/lib/recovery/LeaseManager.ts
+++ b/packages/owner/src/lib/recovery/LeaseManager.ts
@@ -17,8 +17,8 @@
 export class LeaseManager {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
-    private readonly lost: LostTaskRecovery,
+    private readonly settler: TaskSettler,
+    private readonly recovery: LostTaskRecovery,
     private readonly probes: EndpointProbes,
   ) {}
 
@@ -55,8 +55,8 @@
       const task = record.running.get(taskId)
       if (task === undefined) continue
       if (knownTaskIds === undefined) this.recordUnansweredRenewal(now, record, task)
-      else if (running.has(taskId)) this.lost.confirmRunning(now, record, task, boot)
-      else this.lost.handleNotRunning(now, task)
+      else if (running.has(taskId)) this.recovery.confirmRunning(now, record, task, boot)
+      else this.recovery.handleNotRunning(now, task)
     }
   }
 
@@ -69,15 +69,16 @@
 
   private checkTask(now: number, task: TaskRecord): void {
     const fallback = task.fallbackEnd
-    if (fallback !== undefined && now >= fallback.until) this.ends.settle(now, task, fallback.end)
+    if (fallback !== undefined && now >= fallback.until)
+      this.settler.settle(now, task, fallback.end)
     else if (now >= this.ctx.leaseEnd(task)) this.expireLease(now, task)
     else if (now >= task.deadlineAt && !task.reportClosed) this.stopAtDeadline(task)
-    else this.lost.checkTask(now, task)
+    else this.recovery.checkTask(now, task)
   }
 
   private expireLease(now: number, task: TaskRecord): void {
     this.ctx.counters.leasesRunOut++
-    this.ends.settle(now, task, {
+    this.settler.settle(now, task, {
       outcome: Outcome.UNKNOWN,
       reason: Reason.ENDPOINT_LOST,
       detail: 'The endpoint did not answer until the lease of the task ran out.',
@@ -144,7 +145,7 @@
       this.handleRenewal(now, record, undefined, undefined)
     }
     if (record.stopsInFlight !== undefined && now - record.stopsSentAt >= controlTimeoutMs) {
-      this.lost.handleStopResults(now, record, [], undefined)
+      this.recovery.handleStopResults(now, record, [], undefined)
     }
   }
 }
--- a/packages/owner/src/lib/recovery/LostTaskRecovery.ts
+++ b/packages/owner/src/lib/recovery/LostTaskRecovery.ts
@@ -30,7 +30,7 @@
 export class LostTaskRecovery {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
     private readonly notRun: NotRunHandler,
     private readonly dispatcher: Dispatcher,
     private readonly probes: EndpointProbes,
@@ -101,16 +101,16 @@
     results: readonly StopResult[],
     boot: number | undefined,
   ): void {
-    const asked = record.stopsInFlight
-    if (asked === undefined) {
+    const taskIds = record.stopsInFlight
+    if (taskIds === undefined) {
       this.ctx.counters.lateAnswers++
       return
     }
     record.stopsInFlight = undefined
     const states = new Map(results.map((result) => [result.taskId, result.state]))
-    const answers = asked.map((taskId) => states.get(taskId) ?? StopState.NoAnswer)
+    const answers = taskIds.map((taskId) => states.get(taskId) ?? StopState.NoAnswer)
     if (answers.includes(StopState.NoAnswer)) this.probes.suspect(now, record)
-    for (const [position, taskId] of asked.entries()) {
+    for (const [position, taskId] of taskIds.entries()) {
       const task = record.running.get(taskId)
       const state = answers[position]
       if (task !== undefined && state !== undefined) this.handleStopResult(now, task, state, boot)
@@ -164,7 +164,7 @@
       this.settleUnknown(now, task, 'It was stopped when its request was lost.')
       return
     }
-    this.ends.settle(now, task, {
+    this.settler.settle(now, task, {
       outcome: Outcome.FAILED,
       reason: Reason.DEADLINE_PASSED,
       detail: 'It was stopped while it ran, after its deadline had passed.',
@@ -175,7 +175,7 @@
   /** The task ended before the stop; if a request is open, its answer is awaited briefly. */
   private handleEndedBeforeStop(now: number, task: TaskRecord): void {
     if (task.reportClosed || task.requests.length === 0)
-      this.ends.settle(now, task, unknownAfterDeadline)
+      this.settler.settle(now, task, unknownAfterDeadline)
     else {
       const until = now + IN_FLIGHT_GRACE_MS
       task.fallbackEnd = { until, end: unknownAfterDeadline }
@@ -188,12 +188,12 @@
     task.endpoint?.scheduleCheck(task.recheckAt)
     if (task.phase !== TaskPhase.Stopping || task.reportClosed) return
     // The deadline has passed: the task is reported now, but occupies its slot until lease expiry.
-    this.ends.report(now, task, unknownAfterDeadline)
+    this.settler.report(now, task, unknownAfterDeadline)
   }
 
   private settleUnknown(now: number, task: TaskRecord, detail: string): void {
     const reason = Reason.ENDPOINT_LOST
-    this.ends.settle(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
+    this.settler.settle(now, task, { outcome: Outcome.UNKNOWN, reason, detail })
   }
 
   /** Closes idle connections: if one request got no response, they may be dead as well. */
--- a/packages/owner/src/lib/tasks/TaskHistory.ts
+++ b/packages/owner/src/lib/tasks/TaskHistory.ts
@@ -17,7 +17,7 @@
   readonly passedTo: string | undefined
 }
 
-/** Limits on the task history; `output` counts characters. @internal */
+/** Limits on the task history; `maxOutputLength` counts characters. @internal */
 export interface TaskHistoryOptions {
   readonly retentionMs: number
   readonly maxTasks: number
--- a/packages/owner/src/lib/views/ServiceSummaries.ts
+++ b/packages/owner/src/lib/views/ServiceSummaries.ts
@@ -32,7 +32,7 @@
 
   make(now: number): readonly ServiceSummary[] {
     if (this.ctx.draining) return []
-    return [...this.ctx.pools.values()].map((lane) => this.summarize(now, lane))
+    return [...this.ctx.pools.values()].map((pool) => this.summarize(now, pool))
   }
 
   /** Whether the slots on offer differ significantly from those last announced. */
@@ -40,7 +40,7 @@
     if (now - this.announcedAt < this.ctx.timing.summaryIntervalMs) return false
     const offers = new Map<string, SlotOffer>()
     if (!this.ctx.draining) {
-      for (const lane of this.ctx.pools.values()) offers.set(lane.service, this.tally(now, lane))
+      for (const pool of this.ctx.pools.values()) offers.set(pool.service, this.tally(now, pool))
     }
     if (!differSignificantly(this.announced, offers)) return false
     this.announced = offers
@@ -64,9 +64,9 @@
     return summary
   }
 
-  private tally(now: number, lane: ServicePool): Tally {
+  private tally(now: number, pool: ServicePool): Tally {
     const tally: Tally = { endpoints: 0, slots: 0, freeSlots: 0, ejected: 0, largest: undefined }
-    for (const record of lane.endpoints) {
+    for (const record of pool.endpoints) {
       if (!this.isUsable(now, record)) continue
       tally.endpoints++
       tally.largest = maxResources(tally.largest, record.announcement.capacity)
