--- a/packages/coordinator/src/lib/forwarding/QueryHandler.ts
+++ b/packages/coordinator/src/lib/forwarding/QueryHandler.ts
@@ -119,8 +119,9 @@
       onAnswer: (_at, answer) => {
         replies.send(waiter, answer)
       },
-      onFailure: (_at, loss) => {
-        const isRestarted = loss === ForwardFailure.TargetGone && id.boot < members.bootOf(target)
+      onFailure: (_at, failure) => {
+        const isRestarted =
+          failure === ForwardFailure.TargetGone && id.boot < members.bootOf(target)
         const lost = unknownAnswer(jobId, coordinatorLost, policies)
         replies.send(waiter, isRestarted ? lost : this.unreachableAnswer(jobId))
       },
--- a/packages/coordinator/src/lib/forwarding/RequestForwarder.ts
+++ b/packages/coordinator/src/lib/forwarding/RequestForwarder.ts
@@ -18,7 +18,7 @@
   /** Delay of the first resend; doubles with each further one. */
   readonly resendMs: number
   readonly onAnswer: (now: number, answer: JobAnswer | undefined) => void
-  readonly onFailure: (now: number, loss: ForwardFailure) => void
+  readonly onFailure: (now: number, failure: ForwardFailure) => void
 }
 
 interface PendingRequest {
@@ -97,9 +97,14 @@
     this.context.outbox.send(request.target, request.body(now, id))
   }
 
-  private fail(now: number, id: string, { request }: PendingRequest, loss: ForwardFailure): void {
+  private fail(
+    now: number,
+    id: string,
+    { request }: PendingRequest,
+    failure: ForwardFailure,
+  ): void {
     this.pending.delete(id)
-    request.onFailure(now, loss)
+    request.onFailure(now, failure)
   }
 
   private scheduleTimeout(now: number, forwardId: string, pending: PendingRequest): void {
--- a/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
+++ b/packages/coordinator/src/lib/keys/KeyedJobHandler.ts
@@ -150,8 +150,8 @@
         this.recordSpan(now, at, spec, traceparent, target, answer.state === JobState.SUCCEEDED)
         replies.send(waiter, answer)
       },
-      onFailure: (at, loss) => {
-        failForward(at, loss === ForwardFailure.TargetGone ? targetGone : timedOut)
+      onFailure: (at, failure) => {
+        failForward(at, failure === ForwardFailure.TargetGone ? targetGone : timedOut)
       },
     })
     replies.attachForward(waiter, forwardId)
--- a/packages/owner/src/lib/OwnerContext.ts
+++ b/packages/owner/src/lib/OwnerContext.ts
@@ -44,7 +44,7 @@
   preset: PresetDefinition
   health: EndpointHealth
   picker: EndpointPicker
-  retries: RetryBudget
+  retryBudget: RetryBudget
   draining = false
 
   constructor(options: OwnerMachineOptions) {
@@ -62,7 +62,7 @@
     this.ownership = new OwnershipView(options.instance, options.zone, options.preset.ownerShards)
     this.health = createEndpointHealth(options.preset.healthRule)
     this.picker = createEndpointPicker(options.preset.placementRule)
-    this.retries = createRetryBudget(options.preset)
+    this.retryBudget = createRetryBudget(options.preset)
   }
 
   poolOf(service: string): ServicePool {
@@ -126,7 +126,7 @@
     if (old.placementRule !== preset.placementRule) {
       this.picker = createEndpointPicker(preset.placementRule)
     }
-    if (old.retryBudget !== preset.retryBudget) this.retries = createRetryBudget(preset)
+    if (old.retryBudget !== preset.retryBudget) this.retryBudget = createRetryBudget(preset)
     if (old.healthRule !== preset.healthRule) this.rebuildHealth()
     for (const pool of this.pools.values()) this.dirtyPools.add(pool)
   }
--- a/packages/owner/src/lib/endpoints/EndpointDirectory.ts
+++ b/packages/owner/src/lib/endpoints/EndpointDirectory.ts
@@ -137,12 +137,12 @@
 
   private endAfterRestart(now: number, record: EndpointRecord, task: TaskRecord): void {
     if (task.phase !== TaskPhase.Running) {
-      this.settler.settle(now, task, restartedEnd)
+      this.settler.settle(now, task, restartedResult)
       return
     }
     // The request may have found the old process gone, which means "not run", or the new one.
     const until = now + this.ctx.timing.restartGraceMs
-    task.fallbackEnd = { until, end: restartedEnd }
+    task.fallbackEnd = { until, result: restartedResult }
     record.scheduleCheck(until)
   }
 
@@ -215,7 +215,7 @@
   }
 }
 
-const restartedEnd: TaskResult = {
+const restartedResult: TaskResult = {
   outcome: Outcome.UNKNOWN,
   reason: Reason.ENDPOINT_LOST,
   detail: 'The endpoint restarted before it answered.',
--- a/packages/owner/src/lib/intake/Cancellation.ts
+++ b/packages/owner/src/lib/intake/Cancellation.ts
@@ -61,9 +61,9 @@
     const pool = this.ctx.poolOf(task.service)
     if (task.phase === TaskPhase.Delayed) pool.delayedTasks--
     else pool.queue.remove(task.taskId)
-    const end = { outcome: Outcome.NOT_RUN, reason, detail: 'It was cancelled while queued.' }
-    this.settler.closeWithoutReport(now, task, end)
-    this.settler.settle(now, task, end)
+    const result = { outcome: Outcome.NOT_RUN, reason, detail: 'It was cancelled while queued.' }
+    this.settler.closeWithoutReport(now, task, result)
+    this.settler.settle(now, task, result)
   }
 
   private cancelRunning(now: number, task: TaskRecord, reason: Reason): void {
--- a/packages/owner/src/lib/intake/Placement.ts
+++ b/packages/owner/src/lib/intake/Placement.ts
@@ -38,7 +38,10 @@
     const deadlineAt = now + placement.deadlineInMs
     const tasks = accepted.map((placed) => makeTask(now, job, placed, deadlineAt))
     this.ctx.counters.placed += tasks.length
-    this.ctx.retries.recordNewTasks(now, accepted.filter((placed) => placed.attempt === 0).length)
+    this.ctx.retryBudget.recordNewTasks(
+      now,
+      accepted.filter((placed) => placed.attempt === 0).length,
+    )
     if (isForwarded) this.reportNewOwner(job, accepted)
     for (const [service, group] of groupBy(tasks, (task) => task.service)) {
       this.enqueueOrRefuse(now, service, group, isForwarded)
@@ -79,9 +82,9 @@
     const pool = this.ctx.poolOf(service)
     const refusal = this.refusalOf(now, pool, tasks, isForwarded)
     for (const task of tasks) {
-      const end = refusal ?? refusalOfTask(now, pool, task)
-      if (end === undefined) this.enqueue(now, task)
-      else this.settler.settle(now, task, end)
+      const result = refusal ?? refusalOfTask(now, pool, task)
+      if (result === undefined) this.enqueue(now, task)
+      else this.settler.settle(now, task, result)
     }
     if (pool.isEmpty) this.ctx.pools.delete(service)
   }
--- a/packages/owner/src/lib/outcomes/NotRunHandler.ts
+++ b/packages/owner/src/lib/outcomes/NotRunHandler.ts
@@ -68,7 +68,7 @@
     if (task.deadlineAt <= now) return { reason: Reason.DEADLINE_PASSED }
     const retryAfterMs = this.ctx.timing.heartbeatMs
     if (!this.hasEligibleEndpoint(task)) return { reason: Reason.ENDPOINT_REFUSED, retryAfterMs }
-    const delay = this.ctx.retries.takeRetry(now, task.retries, retryJitter(task))
+    const delay = this.ctx.retryBudget.takeRetry(now, task.retries, retryJitter(task))
     return delay ?? { reason: Reason.RETRY_BUDGET, retryAfterMs }
   }
 
--- a/packages/owner/src/lib/outcomes/RunResultHandler.ts
+++ b/packages/owner/src/lib/outcomes/RunResultHandler.ts
@@ -29,15 +29,15 @@
     private readonly probes: EndpointProbes,
   ) {}
 
-  handleRunEnded(now: number, end: RunCompletion): void {
-    const record = this.ctx.endpoints.get(end.endpoint)
-    if (record?.openRuns.delete(end.run) === true) this.ctx.refresh(record)
-    const task = this.ctx.registry.get(end.taskId)
-    if (record === undefined || task?.endpoint !== record || !task.closeRequest(end.run)) {
+  handleRunEnded(now: number, completion: RunCompletion): void {
+    const record = this.ctx.endpoints.get(completion.endpoint)
+    if (record?.openRuns.delete(completion.run) === true) this.ctx.refresh(record)
+    const task = this.ctx.registry.get(completion.taskId)
+    if (record === undefined || task?.endpoint !== record || !task.closeRequest(completion.run)) {
       this.ctx.counters.lateAnswers++
       return
     }
-    this.applyResult(now, record, task, end.result)
+    this.applyResult(now, record, task, completion.result)
   }
 
   private applyResult(
@@ -128,7 +128,7 @@
       this.ctx.health.recordFailure(now, toObservation(record, task), HealthFailure.Lost)
     this.probes.suspect(now, record)
     if (task.fallbackEnd !== undefined) {
-      this.settler.settle(now, task, task.fallbackEnd.end)
+      this.settler.settle(now, task, task.fallbackEnd.result)
       return
     }
     if (task.phase !== TaskPhase.Running) return
--- a/packages/owner/src/lib/outcomes/TaskSettler.ts
+++ b/packages/owner/src/lib/outcomes/TaskSettler.ts
@@ -13,22 +13,22 @@
   constructor(private readonly ctx: OwnerContext) {}
 
   /** Ends a task: reports it, unless its report is closed, and frees what it holds. */
-  settle(now: number, task: TaskRecord, end: TaskResult): void {
-    if (!task.reportClosed) this.report(now, task, end)
-    this.removeTask(now, task, end)
+  settle(now: number, task: TaskRecord, result: TaskResult): void {
+    if (!task.reportClosed) this.report(now, task, result)
+    this.removeTask(now, task, result)
   }
 
   /** Reports a task that still occupies its slot, until it is stopped or its lease expires. */
-  report(now: number, task: TaskRecord, end: TaskResult): void {
-    const report = makeReport(now, task, end)
-    this.closeReport(now, task, end, report)
+  report(now: number, task: TaskRecord, result: TaskResult): void {
+    const report = makeReport(now, task, result)
+    this.closeReport(now, task, result, report)
     this.ctx.outbox.report(task.job.coordinator, task.jobId, report)
-    this.countOutcome(end.outcome)
+    this.countOutcome(result.outcome)
   }
 
   /** Ends a task without sending a report; the report is kept in case it is requested later. */
-  closeWithoutReport(now: number, task: TaskRecord, end: TaskResult): void {
-    this.closeReport(now, task, end, makeReport(now, task, end))
+  closeWithoutReport(now: number, task: TaskRecord, result: TaskResult): void {
+    this.closeReport(now, task, result, makeReport(now, task, result))
   }
 
   /** Frees the slot, resources and open requests of a task, which stays registered. */
@@ -46,23 +46,23 @@
     this.ctx.refresh(record)
   }
 
-  private removeTask(now: number, task: TaskRecord, end: TaskResult): void {
+  private removeTask(now: number, task: TaskRecord, result: TaskResult): void {
     const record = task.endpoint
-    this.release(now, task, end.outcome === Outcome.SUCCEEDED)
+    this.release(now, task, result.outcome === Outcome.SUCCEEDED)
     this.ctx.registry.remove(task)
     if (record === undefined) return
     const entry = this.ctx.history.get(task.taskId)
-    if (entry !== undefined) entry.released = end.released ?? true
+    if (entry !== undefined) entry.released = result.released ?? true
   }
 
-  private closeReport(now: number, task: TaskRecord, end: TaskResult, report: TaskReport): void {
+  private closeReport(now: number, task: TaskRecord, result: TaskResult, report: TaskReport): void {
     task.reportClosed = true
-    this.updateJobProgress(task, end)
+    this.updateJobProgress(task, result)
     this.ctx.history.record({
       taskId: task.taskId,
       at: now,
       attempt: task.attempt,
-      notRun: end.outcome === Outcome.NOT_RUN,
+      notRun: result.outcome === Outcome.NOT_RUN,
       coordinator: task.job.coordinator,
       report,
       released: false,
@@ -71,9 +71,9 @@
   }
 
   /** Updates the job's remaining tasks, as the queue prefers jobs that are nearly complete. */
-  private updateJobProgress(task: TaskRecord, end: TaskResult): void {
+  private updateJobProgress(task: TaskRecord, result: TaskResult): void {
     const job = task.job
-    if (end.outcome !== Outcome.SUCCEEDED || job.remaining <= 1) return
+    if (result.outcome !== Outcome.SUCCEEDED || job.remaining <= 1) return
     job.remaining--
     this.ctx.pools.get(task.service)?.queue.noteProgress(job.jobId, job.remaining)
   }
@@ -99,20 +99,20 @@
   }
 }
 
-function makeReport(now: number, task: TaskRecord, end: TaskResult): TaskReport {
+function makeReport(now: number, task: TaskRecord, result: TaskResult): TaskReport {
   const record = task.endpoint
   const startedAt = record === undefined ? now : task.dispatchedAt
   return create(TaskReportSchema, {
     index: task.index,
-    outcome: end.outcome,
-    reason: end.reason ?? Reason.UNSPECIFIED,
-    output: end.output ?? '',
-    detail: end.detail ?? '',
+    outcome: result.outcome,
+    reason: result.reason ?? Reason.UNSPECIFIED,
+    output: result.output ?? '',
+    detail: result.detail ?? '',
     endpoint: record?.endpoint ?? '',
     rack: record?.candidate.rack ?? '',
     queuedMs: Math.max(0, startedAt - task.enqueuedAt),
-    runMs: end.runMs ?? 0,
-    retryAfterMs: end.retryAfterMs ?? 0,
+    runMs: result.runMs ?? 0,
+    retryAfterMs: result.retryAfterMs ?? 0,
   })
 }
 
--- a/packages/owner/src/lib/recovery/LeaseManager.ts
+++ b/packages/owner/src/lib/recovery/LeaseManager.ts
@@ -70,7 +70,7 @@
   private checkTask(now: number, task: TaskRecord): void {
     const fallback = task.fallbackEnd
     if (fallback !== undefined && now >= fallback.until)
-      this.settler.settle(now, task, fallback.end)
+      this.settler.settle(now, task, fallback.result)
     else if (now >= this.ctx.leaseEnd(task)) this.expireLease(now, task)
     else if (now >= task.deadlineAt && !task.reportClosed) this.stopAtDeadline(task)
     else this.recovery.checkTask(now, task)
--- a/packages/owner/src/lib/recovery/LostTaskRecovery.ts
+++ b/packages/owner/src/lib/recovery/LostTaskRecovery.ts
@@ -178,7 +178,7 @@
       this.settler.settle(now, task, unknownAfterDeadline)
     else {
       const until = now + IN_FLIGHT_GRACE_MS
-      task.fallbackEnd = { until, end: unknownAfterDeadline }
+      task.fallbackEnd = { until, result: unknownAfterDeadline }
       task.endpoint?.scheduleCheck(until)
     }
   }
--- a/packages/owner/src/lib/tasks/TaskRecord.ts
+++ b/packages/owner/src/lib/tasks/TaskRecord.ts
@@ -41,7 +41,7 @@
 /** How a task ends if its answer has not arrived by `until`. @internal */
 export interface FallbackEnd {
   readonly until: number
-  readonly end: TaskResult
+  readonly result: TaskResult
 }
 
 /** @internal */
