--- a/packages/coordinator/src/lib/CoordinatorMachine.ts
+++ b/packages/coordinator/src/lib/CoordinatorMachine.ts
@@ -244,9 +244,9 @@
           this.ending.fail(now, job, deadlinePassed)
         })
         return
-      case TimerKind.CheckLateTasks:
+      case TimerKind.QueryLateTasks:
         this.withJob(timer.sequence, (job) => {
-          this.ownerLosses.checkLateTasks(now, job)
+          this.ownerLosses.queryLateTasks(now, job)
         })
         return
       case TimerKind.Retry:
--- a/packages/coordinator/src/lib/jobs/Job.ts
+++ b/packages/coordinator/src/lib/jobs/Job.ts
@@ -77,10 +77,10 @@
   /** Whether this job holds the claim on its submission key. */
   claimed = false
   placements = 0
-  /** Number of checks for late tasks so far. */
-  lateChecks = 0
-  /** Whether a timer for the next check is running. */
-  lateCheckScheduled = false
+  /** Number of late-task queries so far. */
+  lateTaskQueries = 0
+  /** Whether a timer for the next late-task query is running. */
+  lateTaskQueryScheduled = false
   private inFlightCount = 0
   private succeededCount = 0
   private failedCount = 0
--- a/packages/coordinator/src/lib/placement/OwnerLossHandler.ts
+++ b/packages/coordinator/src/lib/placement/OwnerLossHandler.ts
@@ -87,9 +87,9 @@
    * Queries owners about tasks that run much longer than expected, as a message may have been
    * lost. Repeats with exponential back-off until the job ends.
    */
-  checkLateTasks(now: number, job: Job): void {
+  queryLateTasks(now: number, job: Job): void {
     if (job.phase !== JobPhase.Running) return
-    job.lateCheckScheduled = false
+    job.lateTaskQueryScheduled = false
     const { timing, members, timers } = this.context
     const late = job.tasks.filter((task) => isOlderThan(task, now - timing.lateTaskQueryMs))
     const expired: TaskRecord[] = []
@@ -99,10 +99,10 @@
     }
     this.failLostTasks(now, expired)
     const nextAt =
-      now + Math.min(timing.maxQueryIntervalMs, timing.lateTaskQueryMs * 2 ** job.lateChecks++)
+      now + Math.min(timing.maxQueryIntervalMs, timing.lateTaskQueryMs * 2 ** job.lateTaskQueries++)
     if (job.tasksEnded === job.tasks.length || nextAt >= job.deadlineAt) return
-    job.lateCheckScheduled = true
-    timers.schedule(nextAt, { kind: TimerKind.CheckLateTasks, sequence: job.sequence })
+    job.lateTaskQueryScheduled = true
+    timers.schedule(nextAt, { kind: TimerKind.QueryLateTasks, sequence: job.sequence })
   }
 
   handleFenceReports(now: number, from: string, message: FenceReports): void {
--- a/packages/coordinator/src/lib/placement/TaskPlacer.ts
+++ b/packages/coordinator/src/lib/placement/TaskPlacer.ts
@@ -48,7 +48,7 @@
       this.sendTo(now, job, owner, tasks)
       expectedMs = Math.max(expectedMs, this.expectedMs(owner, tasks))
     }
-    this.scheduleLateCheck(now, job, expectedMs)
+    this.scheduleLateTaskQuery(now, job, expectedMs)
   }
 
   private sendTo(now: number, job: Job, owner: string, tasks: readonly TaskRecord[]): void {
@@ -92,13 +92,13 @@
     return longest
   }
 
-  private scheduleLateCheck(now: number, job: Job, expectedMs: number): void {
+  private scheduleLateTaskQuery(now: number, job: Job, expectedMs: number): void {
     const { lateTaskQueryMs, lateTaskQueryMaxMs } = this.context.timing
     const lateMs = Math.min(Math.max(lateTaskQueryMs, LATE_FACTOR * expectedMs), lateTaskQueryMaxMs)
     const at = now + lateMs
-    if (at >= job.deadlineAt || job.lateCheckScheduled) return
-    job.lateCheckScheduled = true
-    this.context.timers.schedule(at, { kind: TimerKind.CheckLateTasks, sequence: job.sequence })
+    if (at >= job.deadlineAt || job.lateTaskQueryScheduled) return
+    job.lateTaskQueryScheduled = true
+    this.context.timers.schedule(at, { kind: TimerKind.QueryLateTasks, sequence: job.sequence })
   }
 }
 
--- a/packages/coordinator/src/lib/timers/CoordinatorTimer.ts
+++ b/packages/coordinator/src/lib/timers/CoordinatorTimer.ts
@@ -1,7 +1,7 @@
 /** Kinds of timers of a coordinator. @internal */
 export enum TimerKind {
   Deadline = 'deadline',
-  CheckLateTasks = 'ask_after_late',
+  QueryLateTasks = 'ask_after_late',
   Retry = 'retry',
   OwnerLeasesExpired = 'owner_gone',
   ForwardTimeout = 'forward_late',
@@ -15,7 +15,7 @@
  */
 export type CoordinatorTimer =
   | { readonly kind: TimerKind.Deadline; readonly sequence: number }
-  | { readonly kind: TimerKind.CheckLateTasks; readonly sequence: number }
+  | { readonly kind: TimerKind.QueryLateTasks; readonly sequence: number }
   | {
       readonly kind: TimerKind.Retry
       readonly sequence: number
