--- a/packages/coordinator/src/lib/placement/TaskPlacer.ts
+++ b/packages/coordinator/src/lib/placement/TaskPlacer.ts
@@ -22,7 +22,7 @@
 export class TaskPlacer {
   constructor(
     private readonly context: CoordinatorContext,
-    private readonly flight: TaskTracker,
+    private readonly tracker: TaskTracker,
   ) {}
 
   /** @returns undefined when any of the tasks has no eligible owner */
@@ -48,7 +48,7 @@
       this.sendTo(now, job, owner, tasks)
       expectedMs = Math.max(expectedMs, this.expectedMs(owner, tasks))
     }
-    this.scheduleLateCheck(now, job, expectedMs)
+    this.scheduleLateTaskQuery(now, job, expectedMs)
   }
 
   private sendTo(now: number, job: Job, owner: string, tasks: readonly TaskRecord[]): void {
@@ -56,7 +56,7 @@
     const traceparent = deriveTraceparent(job.traceparent, `${job.id}/place/${job.placements++}`)
     const spanId = parseTraceparent(traceparent)?.spanId ?? ''
     const placement = newPlacement(now, owner, members.bootOf(owner), spanId)
-    for (const task of tasks) this.flight.place(now, task, placement)
+    for (const task of tasks) this.tracker.place(now, task, placement)
     const value = create(PlaceTasksSchema, {
       jobId: job.id,
       caller: job.caller,
@@ -92,13 +92,13 @@
     return longest
   }
 
-  private scheduleLateCheck(now: number, job: Job, expectedMs: number): void {
-    const { lateTaskQueryMs: askAfterMs, lateTaskQueryMaxMs: askAfterMaxMs } = this.context.timing
-    const lateMs = Math.min(Math.max(askAfterMs, LATE_FACTOR * expectedMs), askAfterMaxMs)
+  private scheduleLateTaskQuery(now: number, job: Job, expectedMs: number): void {
+    const { lateTaskQueryMs, lateTaskQueryMaxMs } = this.context.timing
+    const lateMs = Math.min(Math.max(lateTaskQueryMs, LATE_FACTOR * expectedMs), lateTaskQueryMaxMs)
     const at = now + lateMs
-    if (at >= job.deadlineAt || job.lateCheckScheduled) return
-    job.lateCheckScheduled = true
-    this.context.timers.schedule(at, { kind: TimerKind.CheckLateTasks, sequence: job.sequence })
+    if (at >= job.deadlineAt || job.lateTaskQueryScheduled) return
+    job.lateTaskQueryScheduled = true
+    this.context.timers.schedule(at, { kind: TimerKind.QueryLateTasks, sequence: job.sequence })
   }
 }
 
--- a/packages/owner/src/lib/OwnerContext.ts
+++ b/packages/owner/src/lib/OwnerContext.ts
@@ -25,8 +25,8 @@
   readonly zone: string
   readonly timing: OwnerTiming
   readonly limits: OwnerLimits
-  readonly book = new TaskRegistry()
-  readonly memory: TaskHistory
+  readonly registry = new TaskRegistry()
+  readonly history: TaskHistory
   readonly outbox = new Outbox()
   readonly counters = newOwnerCounters()
   readonly ownership: OwnershipView
@@ -44,7 +44,7 @@
   preset: PresetDefinition
   health: EndpointHealth
   picker: EndpointPicker
-  retries: RetryBudget
+  retryBudget: RetryBudget
   draining = false
 
   constructor(options: OwnerMachineOptions) {
@@ -53,7 +53,7 @@
     this.zone = options.zone
     this.timing = { ...defaultOwnerTiming, ...options.timing }
     this.limits = { ...defaultOwnerLimits, ...options.limits }
-    this.memory = new TaskHistory({
+    this.history = new TaskHistory({
       retentionMs: this.timing.rememberMs,
       maxTasks: this.limits.rememberedTasks,
       maxOutputLength: this.limits.rememberedOutputChars,
@@ -62,7 +62,7 @@
     this.ownership = new OwnershipView(options.instance, options.zone, options.preset.ownerShards)
     this.health = createEndpointHealth(options.preset.healthRule)
     this.picker = createEndpointPicker(options.preset.placementRule)
-    this.retries = createRetryBudget(options.preset)
+    this.retryBudget = createRetryBudget(options.preset)
   }
 
   poolOf(service: string): ServicePool {
@@ -126,7 +126,7 @@
     if (old.placementRule !== preset.placementRule) {
       this.picker = createEndpointPicker(preset.placementRule)
     }
-    if (old.retryBudget !== preset.retryBudget) this.retries = createRetryBudget(preset)
+    if (old.retryBudget !== preset.retryBudget) this.retryBudget = createRetryBudget(preset)
     if (old.healthRule !== preset.healthRule) this.rebuildHealth()
     for (const pool of this.pools.values()) this.dirtyPools.add(pool)
   }
--- a/packages/owner/src/lib/endpoints/EndpointDirectory.ts
+++ b/packages/owner/src/lib/endpoints/EndpointDirectory.ts
@@ -26,7 +26,7 @@
 
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
+    private readonly settler: TaskSettler,
     private readonly notRun: NotRunHandler,
   ) {}
 
@@ -137,12 +137,12 @@
 
   private endAfterRestart(now: number, record: EndpointRecord, task: TaskRecord): void {
     if (task.phase !== TaskPhase.Running) {
-      this.ends.settle(now, task, restartedEnd)
+      this.settler.settle(now, task, restartedResult)
       return
     }
     // The request may have found the old process gone, which means "not run", or the new one.
     const until = now + this.ctx.timing.restartGraceMs
-    task.fallbackEnd = { until, end: restartedEnd }
+    task.fallbackEnd = { until, result: restartedResult }
     record.scheduleCheck(until)
   }
 
@@ -181,7 +181,7 @@
     const running = record.announcement.runningTaskIds
     for (const taskId of running) {
       if (record.running.has(taskId)) continue
-      if (this.ctx.memory.get(taskId)?.released === true) continue
+      if (this.ctx.history.get(taskId)?.released === true) continue
       record.heldSlots.set(taskId, { until, listed: true })
     }
     if (record.heldSlots.size === 0) return
@@ -215,7 +215,7 @@
   }
 }
 
-const restartedEnd: TaskResult = {
+const restartedResult: TaskResult = {
   outcome: Outcome.UNKNOWN,
   reason: Reason.ENDPOINT_LOST,
   detail: 'The endpoint restarted before it answered.',
--- a/packages/owner/src/lib/recovery/LeaseManager.ts
+++ b/packages/owner/src/lib/recovery/LeaseManager.ts
@@ -17,8 +17,8 @@
 export class LeaseManager {
   constructor(
     private readonly ctx: OwnerContext,
-    private readonly ends: TaskSettler,
-    private readonly lost: LostTaskRecovery,
+    private readonly settler: TaskSettler,
+    private readonly recovery: LostTaskRecovery,
     private readonly probes: EndpointProbes,
   ) {}
 
@@ -35,28 +35,28 @@
     }
   }
 
-  /** Handles the answer to RenewLeases; `known` is undefined if the endpoint did not answer. */
+  /** Handles the answer to RenewLeases; `knownTaskIds` is undefined if the endpoint did not answer. */
   handleRenewal(
     now: number,
     record: EndpointRecord,
-    known: readonly string[] | undefined,
+    knownTaskIds: readonly string[] | undefined,
     boot: number | undefined,
   ): void {
-    const asked = record.renewalInFlight
-    if (asked === undefined) {
+    const taskIds = record.renewalInFlight
+    if (taskIds === undefined) {
       this.ctx.counters.lateAnswers++
       return
     }
     record.renewalInFlight = undefined
     record.scheduleCheck(now)
-    if (known === undefined) this.probes.suspect(now, record)
-    const running = new Set(known)
-    for (const taskId of asked) {
+    if (knownTaskIds === undefined) this.probes.suspect(now, record)
+    const running = new Set(knownTaskIds)
+    for (const taskId of taskIds) {
       const task = record.running.get(taskId)
       if (task === undefined) continue
-      if (known === undefined) this.recordUnansweredRenewal(now, record, task)
-      else if (running.has(taskId)) this.lost.confirmRunning(now, record, task, boot)
-      else this.lost.handleNotRunning(now, task)
+      if (knownTaskIds === undefined) this.recordUnansweredRenewal(now, record, task)
+      else if (running.has(taskId)) this.recovery.confirmRunning(now, record, task, boot)
+      else this.recovery.handleNotRunning(now, task)
     }
   }
 
@@ -69,15 +69,16 @@
 
   private checkTask(now: number, task: TaskRecord): void {
     const fallback = task.fallbackEnd
-    if (fallback !== undefined && now >= fallback.until) this.ends.settle(now, task, fallback.end)
+    if (fallback !== undefined && now >= fallback.until)
+      this.settler.settle(now, task, fallback.result)
     else if (now >= this.ctx.leaseEnd(task)) this.expireLease(now, task)
     else if (now >= task.deadlineAt && !task.reportClosed) this.stopAtDeadline(task)
-    else this.lost.checkTask(now, task)
+    else this.recovery.checkTask(now, task)
   }
 
   private expireLease(now: number, task: TaskRecord): void {
     this.ctx.counters.leasesRunOut++
-    this.ends.settle(now, task, {
+    this.settler.settle(now, task, {
       outcome: Outcome.UNKNOWN,
       reason: Reason.ENDPOINT_LOST,
       detail: 'The endpoint did not answer until the lease of the task ran out.',
@@ -139,12 +140,12 @@
 
   /** Treats requests without an answer event as failed, so that they can't block the endpoint. */
   private timeOutPendingRequests(now: number, record: EndpointRecord): void {
-    const { controlTimeoutMs: askTimeoutMs } = this.ctx.timing
-    if (record.renewalInFlight !== undefined && now - record.renewalSentAt >= askTimeoutMs) {
+    const { controlTimeoutMs } = this.ctx.timing
+    if (record.renewalInFlight !== undefined && now - record.renewalSentAt >= controlTimeoutMs) {
       this.handleRenewal(now, record, undefined, undefined)
     }
-    if (record.stopsInFlight !== undefined && now - record.stopsSentAt >= askTimeoutMs) {
-      this.lost.handleStopResults(now, record, [], undefined)
+    if (record.stopsInFlight !== undefined && now - record.stopsSentAt >= controlTimeoutMs) {
+      this.recovery.handleStopResults(now, record, [], undefined)
     }
   }
 }
