--- a/packages/dispatch/src/lib/soak/runFatalTasks.test.ts
+++ b/packages/dispatch/src/lib/soak/runFatalTasks.test.ts
@@ -5,54 +5,58 @@
 import type { FatalTasksOptions, FatalTasksReport } from './runFatalTasks'
 
 const SEEDS = 12
-/** Endpoints that a job with a fatal task may take down on average. */
+/** Upper bound of the mean number of endpoints that crash under a job with a fatal task. */
 const MOST_LOST_ENDPOINTS = 2.2
-/** What other callers get beside fatal tasks, over what they get without any. */
+/** Lower bound of other callers' completed share, relative to runs without fatal tasks. */
 const LEAST_SHARE = 0.97
-/** The same by the load; `docs/CAPACITY.md` has the goal above the places. */
+/** The same for jobs in time, by load; `docs/CAPACITY.md` has the goal above slot capacity. */
 const LEAST_SHARES: readonly (readonly [load: number, least: number])[] = [
   [0.8, LEAST_SHARE],
   [1.1, 0.92],
 ]
 
-/** What ends without a word besides the leader. */
+/** What else fails without notice when the leader is killed. */
 const UNANNOUNCED_LOSSES: readonly (readonly [
   name: string,
   options: Partial<FatalTasksOptions> & Pick<FatalTasksOptions, 'lostInstances'>,
 ])[] = [
   ['alone', { lostInstances: LostInstances.Leader }],
   [
-    'and racks of endpoints that keep their ids',
+    'with failures of racks whose endpoints restart under the same ids',
     { lostInstances: LostInstances.Leader, hasGroupLosses: true, keepsIds: true },
   ],
   [
-    'and at times all other instances',
+    'at times with all other instances, and with failures of racks',
     { lostInstances: LostInstances.LeaderOrAll, hasGroupLosses: true },
   ],
 ]
 
-/** Runs in which jobs without a fatal task were shown as failed. */
+/** Seeds at which jobs without a fatal task were reported as failed, by cause. */
 const BLAMED_INNOCENTS: readonly (readonly [
   cause: string,
   options: Partial<FatalTasksOptions>,
   seeds: readonly number[],
 ])[] = [
   [
-    'the rest of a lost rack was idle, so that its silence showed later',
+    'the rest of a lost rack was idle, so that its loss was detected later',
     { hasElections: true },
     [38, 58, 99, 107],
   ],
-  ['an earlier leader told what had run before', { hasElections: true }, [7, 9, 63, 116]],
+  ['an earlier leader had reported the runs', { hasElections: true }, [7, 9, 63, 116]],
   [
-    'its order to start came to an endpoint that was gone',
+    'the start order was sent to an endpoint that was already lost',
     { lostInstances: LostInstances.Leader, keepsIds: true },
     [11, 21, 86, 109],
   ],
-  ['what was left of a rack was lost once more', { lostInstances: LostInstances.Leader }, [46]],
-  ['all instances had ended', { lostInstances: LostInstances.LeaderOrAll }, [60]],
+  [
+    'the remaining endpoints of a rack were lost in another failure',
+    { lostInstances: LostInstances.Leader },
+    [46],
+  ],
+  ['all instances had crashed', { lostInstances: LostInstances.LeaderOrAll }, [60]],
 ]
 
-/** Runs of the same options are all alike, and several tests look at them. */
+/** Reports by options: runs are deterministic, and several tests use the same ones. */
 const known = new Map<string, readonly FatalTasksReport[]>()
 
 function runAll(options: Omit<FatalTasksOptions, 'seed'>): readonly FatalTasksReport[] {
@@ -76,7 +80,7 @@
 
 describe('tasks that take their endpoint down', () => {
   for (const fatalShare of [0.005, 0.03]) {
-    it(`are not started on one endpoint after the other, at ${fatalShare} of the jobs`, () => {
+    it(`are not restarted on one endpoint after another, at ${fatalShare} of the jobs`, () => {
       const reports = runAll({ fatalShare })
       assert.deepEqual(
         reports.flatMap(({ violations }) => violations),
@@ -87,7 +91,7 @@
     })
   }
 
-  it('cost other callers little, and none of their jobs is shown as failed', () => {
+  it('have little effect on other callers, none of whose jobs is reported as failed', () => {
     const without = completedShare(runAll({ fatalShare: 0 }))
     const reports = runAll({ fatalShare: 0.005 })
     const share = completedShare(reports)
@@ -96,7 +100,7 @@
   })
 
   for (const [load, least] of LEAST_SHARES) {
-    it(`leave others nearly all that they get without them, at ${load} of the places`, () => {
+    it(`hardly reduce the share of other jobs in time, at ${load} of the slot capacity`, () => {
       const play = (fatalShare: number): number => {
         return playLoad({ load, fatalShare, playMs: 4_000 }).inTime
       }
@@ -105,7 +109,7 @@
     })
   }
 
-  it('are told from groups of endpoints that are lost at once, also over new leaders', () => {
+  it('are distinguished from failures of whole racks, also across changes of leader', () => {
     const reports = runAll({ fatalShare: 0.03, hasGroupLosses: true, hasElections: true })
     assert.deepEqual(
       reports.flatMap(({ violations }) => violations),
@@ -115,14 +119,15 @@
   })
 
   for (const [cause, options, seeds] of BLAMED_INNOCENTS) {
-    it(`are not seen in jobs that were lost by chance, where ${cause}`, () => {
+    it(`are not suspected in jobs that lost their endpoint by chance, where ${cause}`, () => {
       const shared = { fatalShare: 0.03, hasGroupLosses: true, ...options }
       const reports = seeds.map((seed) => runFatalTasks({ ...shared, seed }))
       assert.equal(sum(reports, 'innocentFailed'), 0)
     })
   }
 
-  // Several leaders end before they have asked all endpoints, or all instances within moments of a loss.
+  // Several leaders crash before they have polled all endpoints, or all instances crash within
+  // moments of the loss of an endpoint.
   for (const [lostInstances, seed] of [
     [LostInstances.Leader, 202],
     [LostInstances.LeaderOrAll, 294],
@@ -134,7 +139,7 @@
     })
   }
 
-  // A leader that ends takes with it what it had started at endpoints that were lost just before.
+  // A killed leader loses its record of the tasks that it started at endpoints lost just before.
   for (const [name, options] of UNANNOUNCED_LOSSES) {
     it(`are not started a fourth time when the leader is killed, ${name}`, () => {
       const reports = runAll({ fatalShare: 0.03, ...options })
