--- a/packages/dispatch/src/lib/soak/DispatchWorld.ts
+++ b/packages/dispatch/src/lib/soak/DispatchWorld.ts
@@ -29,16 +29,16 @@
 const MAX_LEASE_MS = 1_000
 const HEARTBEAT_MS = 1_500
 /**
- * Dispatchers, an entry and endpoints in one simulated time, with orders that get lost or come
- * late. It checks that no task ever runs twice at the same time, and that what was refused as
- * not run never ran.
+ * Simulates dispatchers, an entry and endpoints on a virtual clock, with orders that are lost or
+ * delayed. Checks that no task ever runs twice at the same time, and that no task of a job that was
+ * refused as not run has ever run.
  *
  * @internal
  */
 export class DispatchWorld {
   readonly endpoints: SimulatedEndpoint[] = []
   readonly outcomes = new Map<string, JobOutcome>()
-  /** When each request was answered. */
+  /** Time of the last answer to each request, by request id. */
   readonly answeredAt = new Map<string, number>()
   readonly #checks = new StartChecks({
     endpoints: this.endpoints,
@@ -150,15 +150,15 @@
     return this.#agenda.now
   }
 
-  /** Lives of endpoints that have begun so far. */
+  /** Number of endpoint incarnations started so far. */
   get endpointsAdded(): number {
     return this.#endpointsAdded
   }
 
-  /** Numbers of the dispatcher that leads. */
+  /** Counters of the instance that was elected last. */
   get counters(): Readonly<DispatchCounters> {
     const machine = this.#machines[this.#leader]
-    if (machine === undefined) throw new Error('nobody leads')
+    if (machine === undefined) throw new Error('there is no leader')
     return machine.counters
   }
 
@@ -194,9 +194,10 @@
   }
 
   /**
-   * Another instance leads; the old one learns of it after a while, or never while it is cut off.
+   * Elects a leader. The old one loses its majority at once, and learns of the election after a
+   * while unless it was elected again.
    *
-   * @param gapMs - how long nobody leads in between
+   * @param gapMs - time without a leader in between
    */
   elect(leader: number, oldLearnsAfterMs: number, gapMs = 0): void {
     const old = this.#leader
@@ -218,21 +219,21 @@
     }
   }
 
-  /** Whether an instance can be elected now. */
+  /** Whether the process of an instance is running, so that it can be elected. */
   isUp(leader: number): boolean {
     return this.#processes.isUp(this.now, leader)
   }
 
-  /** Whether it is the one that was elected last. */
+  /** Whether this instance was elected last. */
   isElected(leader: number): boolean {
     return leader === this.#leader
   }
 
   /**
-   * The process of an instance ends with all that it knows, and the next one starts.
+   * Kills the process of an instance, whose state in memory is lost, and starts the next one.
    *
-   * @param downMs - until the next one starts
-   * @param newsMs - until the entry learns that its leader is lost, if it was that
+   * @param downMs - time until the next process starts
+   * @param newsMs - time until the entry learns of the loss, if this instance is the leader
    */
   restart(leader: number, downMs: number, newsMs: number): void {
     this.#processes.restart(leader, this.now + downMs)
@@ -262,7 +263,7 @@
   }
 
   #lead(leader: number, term: number, followedUntil: number): void {
-    // Another election may have come in between, or the elected one may have been lost.
+    // There may have been another election, or the elected instance may have been lost.
     if (this.#term !== term || !this.isUp(leader)) return
     this.#cutFromQuorum.delete(leader)
     this.#tell(leader, { kind: DispatchEventKind.BecomeLeader, term, table: TABLE })
@@ -280,7 +281,10 @@
     })
   }
 
-  /** A majority tells the new leader what it knows: one instance beside it, drawn at random. */
+  /**
+   * Sends the new leader the directory of another instance, chosen at random, with which it forms a
+   * majority.
+   */
   #readDirectories(leader: number, term: number): void {
     const others = [...this.#machines.keys()].filter((i) => i !== leader)
     const asked = others[Math.floor(this.options.random() * others.length)]
@@ -290,17 +294,17 @@
     this.#tell(leader, { kind: DispatchEventKind.DirectoryComplete, term })
   }
 
-  /** A process that started lately may not have heard of every endpoint. */
+  /** Whether a process has run long enough to have got a notice from every endpoint. */
   #hasWholeDirectory(leader: number): boolean {
     return this.now >= this.#processes.of(leader).startedAt + 2 * HEARTBEAT_MS
   }
 
-  /** Nothing gets to a proxy or away from it for some time. */
+  /** Delays all messages to and from a proxy for some time. */
   silenceProxy(proxy: number, forMs: number): void {
     this.#proxies.silence(proxy, forMs)
   }
 
-  /** An instance (`d0`, or the proxy `p0`) can't reach an endpoint for some time. */
+  /** Partitions an instance (`d0`, or the proxy `p0`) from an endpoint for some time. */
   cut(instance: string, endpoint: string, forMs: number): void {
     const cut = this.#cutEndpoints.get(instance) ?? new Set()
     this.#cutEndpoints.set(instance, cut.add(endpoint))
@@ -332,7 +336,7 @@
     this.#agenda.after(ms, run)
   }
 
-  /** Lets time pass. */
+  /** Advances the simulated time. */
   run(ms: number): void {
     const end = this.now + ms
     while (this.now < end) {
@@ -359,7 +363,7 @@
     this.#performRelay(this.#relay.tick(this.now))
   }
 
-  /** Endpoints announce themselves again to all that know them. */
+  /** Sends a notice of each endpoint to all instances that know it. */
   #sendHeartbeats(): void {
     if (this.now < this.#heartbeatDueAt) return
     this.#heartbeatDueAt = this.now + HEARTBEAT_MS
@@ -369,7 +373,7 @@
   #announce(endpoint: SimulatedEndpoint): void {
     const notice = endpoint.notice()
     for (const [i, machine] of this.#machines.entries()) {
-      // That it leaves is told to all before it is acknowledged.
+      // A leave notice goes to all instances before it is acknowledged.
       if (!machine.hasEndpoint(notice.endpoint) && notice.state === NoticeState.SERVING) continue
       this.#tellNotice(i, notice)
     }
@@ -420,7 +424,7 @@
     })
   }
 
-  /** An instance tells another one which endpoints it knows, and which were lost. */
+  /** Sends the endpoints and losses that one instance knows to another one. */
   #tellNotices(from: number, to: number): void {
     const news = this.#machines[from]?.losses(this.now)
     if (news !== undefined) this.#tell(to, { kind: DispatchEventKind.EndpointLosses, losses: news })
@@ -451,7 +455,7 @@
     const earlier = this.outcomes.get(outcome.requestId)
     this.outcomes.set(outcome.requestId, outcome)
     this.answeredAt.set(outcome.requestId, this.now)
-    // A caller that sends a job again knows that its first attempt may have run.
+    // A caller that resubmits a job of unknown outcome knows that its first attempt may have run.
     if (outcome.verdict !== JobVerdict.REFUSED || earlier?.verdict === JobVerdict.UNKNOWN) return
     this.#checks.onRefused(outcome.requestId)
   }
--- a/packages/dispatch/src/lib/soak/DispatchWorldOptions.ts
+++ b/packages/dispatch/src/lib/soak/DispatchWorldOptions.ts
@@ -10,61 +10,61 @@
 export interface DispatchWorldOptions {
   readonly leaders: number
   readonly endpoints: number
-  /** Racks over which the endpoints of the start are spread; one by default. */
+  /** Number of racks over which the initial endpoints are spread; one by default. */
   readonly racks?: number
   readonly placesEach: number
-  /** Instances that bring orders to endpoints; without any the leaders call them. */
+  /** Number of instances that forward orders; with none, the leaders call the endpoints. */
   readonly proxies?: number
   readonly random: () => number
   readonly chances?: Partial<WorldChances>
   readonly order?: QueuePolicy
   readonly admission?: JobAdmission
   readonly without?: readonly Mechanism[]
-  /** How long each run takes, in milliseconds, or what tells it of a task at an endpoint; drawn by default. */
+  /** Duration of a run in milliseconds, or a function that returns it; random by default. */
   readonly runMs?: number | ((task: string, endpoint: string) => number)
-  /** What the leaders' work costs them; their decisions take no time by default. */
+  /** Processor time of the leaders' work; their decisions take no time by default. */
   readonly costs?: LeaderCosts
   /**
-   * Sends requests without a receipt again to the next process of a leader, as a link must not: to show
-   * that this is noticed.
+   * Resends unacknowledged requests to the next process of a leader, as a link must not, to test
+   * that the checks detect it.
    */
   readonly resendsToNextProcess?: boolean
-  /** Whether instances find on their disks what they knew of endpoints when they start again. */
+  /** Whether instances read their directory of endpoints from disk when they restart. */
   readonly storesDirectories?: boolean
-  /** Whether an endpoint that starts again has the id that it had. */
+  /** Whether an endpoint keeps its id when it restarts. */
   readonly keepsIds?: boolean
   /**
-   * Has lists that don't tell which life they are of, and notices that name it by its id alone, as an
-   * adapter must not: to show that this is noticed.
+   * Omits the incarnation from the lists of runs, and names endpoints by their id alone in notices,
+   * as an adapter must not, to test that the checks detect it.
    */
   readonly takesLivesForOne?: boolean
-  /** Whether a task takes down each endpoint that starts it. */
+  /** Whether a task crashes every endpoint that starts it. */
   readonly isFatal?: (task: string) => boolean
-  /** Whether endpoints refuse what doesn't fit; they do by default. */
+  /** Whether endpoints refuse tasks beyond their slots; they do by default. */
   readonly guardsPlaces?: boolean
-  /** Makes the dispatchers, for measurements. */
+  /** Creates the dispatchers, for measurements. */
   readonly makeMachine?: (options: DispatchOptions) => DispatchMachine
 }
 
 /** @internal */
 export interface SubmitOptions {
   readonly deadlineMs?: number
-  /** What the caller believes that each task takes, in milliseconds. */
+  /** The caller's estimate of the run time of each task, in milliseconds. */
   readonly estimateMs?: number
-  /** Number of its queue, below `QUEUES`: each learns the run times of its own jobs. */
+  /** Index of its queue, below `QUEUES`: each learns the run times of its own jobs. */
   readonly queue?: number
-  /** The tasks ask for no cores and no memory. */
+  /** Whether the tasks request no cores and no memory. */
   readonly isWeightless?: boolean
 }
 
 /** @internal */
 export interface AddedEndpoint {
   readonly address?: string
-  /** Its time of day at its start; the time of the run by default. */
+  /** Start time by the endpoint's wall clock; the simulated time by default. */
   readonly startedAt?: number
   readonly rack?: string
-  /** Numbers of the instances that hear of it at first; all by default. */
+  /** Indexes of the instances that it is first announced to; all by default. */
   readonly knownTo?: readonly number[]
-  /** One instance, which is drawn, hears of it at first. */
+  /** Whether it is first announced to one random instance only. */
   readonly isHeardByOne?: boolean
 }
--- a/packages/dispatch/src/lib/soak/EndpointLives.ts
+++ b/packages/dispatch/src/lib/soak/EndpointLives.ts
@@ -5,47 +5,48 @@
 import type { SimulatedEndpoint } from './SimulatedEndpoint'
 import { DRAIN_MS } from './StartChecks'
 
-/** What the lives of endpoints need of the run around them. @internal */
+/** Interface of the simulation to the incarnations of its endpoints. @internal */
 export interface LivesWorld {
   readonly endpoints: SimulatedEndpoint[]
   readonly random: () => number
   readonly now: () => number
   readonly after: (ms: number, run: () => void) => void
-  /** Whether a task takes down each endpoint that starts it. */
+  /** Whether a task crashes every endpoint that starts it. */
   readonly isFatal: (task: string) => boolean
-  /** Whether an endpoint that starts again has the id that it had. */
+  /** Whether an endpoint keeps its id when it restarts. */
   readonly keepsIds: boolean
   readonly add: (id: string, place: AddedEndpoint) => void
-  /** An endpoint sends its next notice. */
+  /** Sends the next notice of an endpoint. */
   readonly announce: (endpoint: SimulatedEndpoint) => void
-  /** Tells each instance, or one that is drawn. */
+  /** Delivers a notice to all instances. */
   readonly tellAll: (notice: EndpointNotice) => void
+  /** Delivers a notice to one random instance. */
   readonly tellOne: (notice: EndpointNotice) => void
   readonly report: (violation: string) => void
 }
 
-/** An endpoint is lost so soon after it has started a fatal task, in milliseconds. */
+/** Delay between the start of a fatal task and the crash, in milliseconds. */
 const CRASH_MS = 5
-/** No task is started again once so many endpoints were lost under it. */
+/** Number of endpoints lost under a task after which it must not be started again. */
 const MOST_CRASHES = 3
-/** How long an endpoint is gone after a crash, in milliseconds. */
+/** Bounds of the time until an endpoint restarts after a crash, in milliseconds. */
 const LEAST_DOWN_MS = 1_500
 const MOST_DOWN_MS = 4_000
-/** A notice may come so late, in milliseconds. */
+/** Longest delay of a notice, in milliseconds. */
 const MOST_NOTICE_DELAY_MS = 4_000
-/** Share of the starts before which the endpoint's time of day was set back. */
+/** Share of the restarts before which the endpoint's wall clock was set back. */
 const SET_BACK_SHARE = 0.1
-/** Time of day at the start of a run. */
+/** Wall clock time at the start of the simulation. */
 const EPOCH_MS = 1_700_000_000_000
 
-/** Endpoints that crash or leave, and come back as another life at the same address. @internal */
+/** Crashes and drains endpoints, and restarts them at the same address. @internal */
 export class EndpointLives {
-  /** Endpoints that were lost under each task. */
+  /** Number of endpoints that were lost under each task. */
   readonly crashes = new Map<string, number>()
 
   constructor(private readonly world: LivesWorld) {}
 
-  /** Time of day at the start of a life that begins now. */
+  /** Current wall clock time, as the start time of a new incarnation. */
   get timeOfDay(): number {
     return EPOCH_MS + Math.floor(this.world.now())
   }
@@ -63,7 +64,7 @@
     })
   }
 
-  /** The endpoint is gone with all that runs there, and is back after a while. */
+  /** Crashes an endpoint with all its runs, and restarts it after a while. */
   crash(endpoint: SimulatedEndpoint, downMs = this.#drawDownMs()): void {
     const { endpoints, after } = this.world
     const at = endpoints.indexOf(endpoint)
@@ -75,7 +76,7 @@
     })
   }
 
-  /** The same; its last word may come when its next life is there. */
+  /** The same, with a last notice that may arrive after the next incarnation has started. */
   crashWithLateNotice(endpoint: SimulatedEndpoint, downMs: number): void {
     const { after, random, tellOne } = this.world
     this.crash(endpoint, downMs)
@@ -85,7 +86,7 @@
     })
   }
 
-  /** An endpoint says that it leaves, serves on for a while, says goodbye and starts again later. */
+  /** Drains an endpoint: it sends a leave notice, serves for a while, stops and restarts later. */
   leave(endpoint: SimulatedEndpoint, downMs: number): void {
     if (endpoint.state !== NoticeState.SERVING) return
     const { after, random, announce } = this.world
@@ -98,7 +99,7 @@
     })
   }
 
-  /** A goodbye names the endpoint by its id alone, and may come late. */
+  /** Sends a notice that the endpoint is gone, which has only its id and may be delayed. */
   #sayGoodbye({ options: { id } }: SimulatedEndpoint): void {
     const { after, random, tellAll } = this.world
     const sequence = Number.MAX_SAFE_INTEGER
--- a/packages/dispatch/src/lib/soak/OrderCarrier.ts
+++ b/packages/dispatch/src/lib/soak/OrderCarrier.ts
@@ -6,24 +6,24 @@
 import { idOfLife } from './SimulatedEndpoint'
 import type { SimulatedEndpoint } from './SimulatedEndpoint'
 
-/** Draws of a run; all take numbers from 0 to 1. @internal */
+/** Failure probabilities of a simulation, from 0 to 1. @internal */
 export interface WorldChances {
-  /** An order is carried out, and its answer is lost. */
+  /** An order is executed, but its answer is lost. */
   readonly lostAnswer: number
   /**
-   * An order is carried out seconds later and not answered: by the life that took it, or, as often, by the
-   * one that is there by then under the same id.
+   * An order is executed seconds late and not answered: by the incarnation that received it or, as
+   * often, by the one that has the same id by then.
    */
   readonly lateOrder: number
   /** A run fails. */
   readonly failedRun: number
 }
 
-/** What orders need of the world around them. @internal */
+/** Interface of the simulation to the transport of orders. @internal */
 export interface OrderWorld {
   readonly endpoints: readonly SimulatedEndpoint[]
   readonly chances: WorldChances
-  /** How long a run of a task takes at an endpoint, in milliseconds. */
+  /** Returns the run time of a task at an endpoint, in milliseconds. */
   readonly drawRunMs: (task: string, endpoint: string) => number
   readonly random: () => number
   readonly now: () => number
@@ -39,18 +39,19 @@
   readonly isLate: boolean
 }
 
-/** Told of the answer to an order. @internal */
+/** Called with the answer to an order. @internal */
 export type OnAnswer = (answer: OrderAnswer) => void
 
-/** One way between instances and endpoints, in milliseconds. */
+/** One-way latency between instances and endpoints, in milliseconds. */
 export const WAY_MS = 2
 
-/** Brings orders to simulated endpoints and answers back: in time, late, or not at all. @internal */
+/** Simulated transport of orders and answers, which may delay or lose them. @internal */
 export class OrderCarrier {
   constructor(private readonly world: OrderWorld) {}
 
   /**
-   * Brings an order to its endpoint and the answer back, or neither, or both late.
+   * Delivers an order to its endpoint, and the answer to the caller. Either may be lost, and a
+   * delayed order is not answered.
    *
    * @param caller - instance that calls the endpoint
    */
@@ -91,7 +92,7 @@
     return this.world.endpoints.find(({ options }) => options.id === id)
   }
 
-  /** An endpoint of another id at the address says that it isn't the one that is meant. */
+  /** Answers as an endpoint of another id at the same address: the addressed one was replaced. */
   private answerForOther(order: EndpointOrder, settle: OnAnswer): void {
     const { endpoints, after } = this.world
     if (!endpoints.some(({ options }) => options.address === order.address)) return
@@ -123,7 +124,7 @@
     }
   }
 
-  /** Whether the life that answers is the one that was asked: its lists name it. */
+  /** Whether the incarnation that answers is the addressed one, which its lists name. */
   private isMeant(target: SimulatedEndpoint, { endpoint }: EndpointOrder): boolean {
     return this.world.takesLivesForOne === true || target.name === endpoint
   }
@@ -139,7 +140,7 @@
     return { case: 'started', value: target.start(now(), token, order, fate) }
   }
 
-  /** Asks again until there is an end, or the wait is over. */
+  /** Answers once there is an ended run to report, or after the wait of the order. */
   private hold(
     target: SimulatedEndpoint,
     token: number,
--- a/packages/dispatch/src/lib/soak/PayingLeader.ts
+++ b/packages/dispatch/src/lib/soak/PayingLeader.ts
@@ -3,23 +3,23 @@
 import { SimulatedLeader } from './SimulatedLeader'
 import type { LeaderSurroundings } from './SimulatedLeader'
 
-/** Processor time that a leader spends, in microseconds. @internal */
+/** Processor time of a leader's work, in microseconds. @internal */
 export interface LeaderCosts {
-  /** For each message that it takes in: to read it, decode it and find what it concerns. */
+  /** Per received message: reading, decoding, and finding the job or endpoint that it concerns. */
   readonly event: number
-  /** For each order or answer that it sends. */
+  /** Per order or answer sent. */
   readonly action: number
-  /** For each waiting job that a round puts in order. */
+  /** Per waiting job that a scheduling round ranks. */
   readonly rankedJob: number
-  /** For each endpoint that a round looks at. */
+  /** Per endpoint that a scheduling round visits. */
   readonly visitedEndpoint: number
-  /** For each place that is taken by forecast. */
+  /** Per slot that a forecast assigns. */
   readonly forecastPlace: number
 }
 
 /**
- * Decisions cost what placing takes on a core of this project's machines. Messages cost what it takes
- * to write and read one, and as much again in streams and timers.
+ * Costs of decisions are those of placement on a core of this project's machines. Costs of messages
+ * are those of encoding and decoding one, doubled for streams and timers.
  *
  * @internal
  */
@@ -34,16 +34,17 @@
 const US_PER_MS = 1_000
 
 /**
- * A dispatcher that pays for its time: while it works on what it took in, everything else waits,
- * and its orders and answers go out once the work is done. What waited is taken in together.
+ * A dispatcher whose work takes simulated processor time. While it processes a batch of events, new
+ * events wait; its orders and answers are sent when the batch is done. The events that waited form
+ * the next batch.
  *
  * @internal
  */
 export class PayingLeader extends SimulatedLeader {
-  /** Time that its work took so far, in milliseconds. */
+  /** Total processor time used so far, in milliseconds. */
   busyMs = 0
   #waiting: DispatchEvent[] = []
-  /** When the first of what waits came. */
+  /** Arrival time of the first waiting event. */
   #waitsSince = 0
   #isTickDue = false
   #isBusy = false
@@ -89,7 +90,7 @@
     })
   }
 
-  /** What all decisions so far have cost, by what they looked at. */
+  /** Cost of all decisions so far, computed from the machine's counters. */
   #decisionUs({ counters }: DispatchMachine): number {
     const { rankedJob, visitedEndpoint, forecastPlace } = this.costs
     return (
--- a/packages/dispatch/src/lib/soak/Processes.ts
+++ b/packages/dispatch/src/lib/soak/Processes.ts
@@ -5,7 +5,7 @@
   readonly startedAt: number
 }
 
-/** The processes of simulated instances, one at a time each. @internal */
+/** Tracks the current process of each simulated instance. @internal */
 export class Processes {
   readonly #processes: SimulatedProcess[]
 
@@ -23,13 +23,13 @@
     return now >= this.of(instance).startedAt
   }
 
-  /** The present process ends at once, and the next one starts at the given time. */
+  /** Ends the current process at once; the next one starts at the given time. */
   restart(instance: number, startsAt: number): void {
     const { boot } = this.of(instance)
     this.#processes[instance] = { boot: boot + 1, startedAt: startsAt }
   }
 
-  /** Gives a function that does nothing once the instance's present process has ended. */
+  /** Wraps a function so that it does nothing once the instance's current process has ended. */
   bind<A extends readonly unknown[]>(
     instance: number,
     run: (...args: A) => void,
--- a/packages/dispatch/src/lib/soak/ProxyWorld.ts
+++ b/packages/dispatch/src/lib/soak/ProxyWorld.ts
@@ -24,7 +24,7 @@
   readonly processes: Processes
 }
 
-/** The ways between leaders and endpoints: straight, or over proxies that may fall silent. @internal */
+/** Routes orders from leaders to endpoints, directly or through proxies. @internal */
 export class ProxyWorld {
   private readonly routers: OrderRouter[]
   private readonly proxies: OrderProxy[]
@@ -35,7 +35,7 @@
     this.proxies = Array.from({ length: options.proxies }, (_, i) => this.makeProxy(`p${i}`))
   }
 
-  /** A leader's process has ended, and another one starts. */
+  /** Resets the router of a leader whose process restarts. */
   restart(leader: number): void {
     this.routers[leader] = this.makeRouter(leader)
   }
@@ -119,14 +119,14 @@
     })
   }
 
-  /** A leader takes in what a proxy sends. */
+  /** Processes a message from a proxy at a leader. */
   private receive(from: string, leader: number, { body }: Envelope): void {
     if (body.case !== 'endpointAnswers') return
     const event = { kind: RouterEventKind.Answers, from, ...body.value } as const
     this.step(leader, (router, now) => router.step(now, event))
   }
 
-  /** A message to a proxy or from it; one that meets the silence is delivered after it. */
+  /** Delivers a message to or from a proxy, after its silence if it is silenced. */
   private bring(proxy: string, deliver: () => void): void {
     const silentMs = Math.max(0, (this.silentUntil.get(proxy) ?? 0) - this.options.now())
     this.options.after(silentMs + WAY_MS, deliver)
--- a/packages/dispatch/src/lib/soak/SentRequests.ts
+++ b/packages/dispatch/src/lib/soak/SentRequests.ts
@@ -2,7 +2,7 @@
 import { DispatchEventKind } from '../DispatchEvent'
 import type { DispatchEvent } from '../DispatchEvent'
 
-/** A link may resend what it sent within this time, in milliseconds. */
+/** Time within which a link may resend a message, in milliseconds. */
 const RESEND_MS = 700
 
 interface SentRequest {
@@ -11,7 +11,7 @@
   readonly event: DispatchEvent
 }
 
-/** The requests that were sent to leaders lately, in order. @internal */
+/** Recent requests to leaders, in the order in which they were sent. @internal */
 export class SentRequests {
   #sent: SentRequest[] = []
 
@@ -20,14 +20,14 @@
     this.#sent.push({ leader, at: now, event })
   }
 
-  /** What a link that knows no processes would send again to a leader. */
+  /** Requests that a link would resend to a leader if it did not distinguish its processes. */
   unacknowledged(now: number, leader: number): readonly DispatchEvent[] {
     const lost = this.#sent.filter((sent) => sent.leader === leader && sent.at >= now - RESEND_MS)
     return lost.map(({ event }) => event)
   }
 }
 
-/** What a dispatcher is told of a message of an entry. @internal */
+/** Converts a message from an entry to an event of the dispatcher. @internal */
 export function requestOf(from: string, { body }: Envelope): DispatchEvent | undefined {
   switch (body.case) {
     case 'submitJob':
--- a/packages/dispatch/src/lib/soak/SimulatedEndpoint.ts
+++ b/packages/dispatch/src/lib/soak/SimulatedEndpoint.ts
@@ -22,65 +22,65 @@
 export interface SimulatedRun {
   readonly task: string
   readonly run: number
-  /** Time of the simulation at which it ends by itself. */
+  /** Simulated time at which it ends by itself. */
   readonly endsAt: number
   readonly fails: boolean
 }
 
-/** How a run will go. @internal */
+/** Duration and result of a run, determined at its start. @internal */
 export interface RunFate {
   readonly runMs: number
   readonly fails: boolean
-  /** The order is carried out long after it was given. */
+  /** Whether the order is executed long after it was sent. */
   readonly isLate?: boolean
 }
 
 /** @internal */
 export interface SimulatedEndpointOptions {
-  /** What its callers name it by: an endpoint that starts again may keep it. */
+  /** Id that callers address; an endpoint may keep it when it restarts. */
   readonly id: string
-  /** Time of day of its start, as the endpoint takes it to be. */
+  /** Start time by the endpoint's wall clock. */
   readonly startedAt: number
-  /** Whether its notices don't tell its lives apart. */
+  /** Whether its notices do not distinguish its incarnations. */
   readonly isNamedById?: boolean
   readonly rack: string
-  /** Several lives of an endpoint have one address, one after the other. */
+  /** Shared by successive incarnations of the endpoint. */
   readonly address: string
   readonly service: string
-  /** Runs that fit at the same time. */
+  /** Number of slots. */
   readonly places: number
-  /** Whether it refuses what doesn't fit. */
+  /** Whether it refuses tasks beyond its slots. */
   readonly guardsPlaces: boolean
-  /** How much slower than the simulation's its clock runs, as a share. */
+  /** Clock drift: by how much its clock runs slower than simulated time, as a share. */
   readonly drift: number
-  /** Where its clock starts, in milliseconds. */
+  /** Reading of its clock at simulated time 0, in milliseconds. */
   readonly clockStartMs: number
-  /** Longest lease that it grants, in milliseconds of its clock. */
+  /** Longest lease that it grants, in milliseconds by its own clock. */
   readonly maxLeaseMs: number
 }
 
-/** What one run of a task wants, in thousandths of a core. */
+/** Processor share that each task requests, in thousandths of a core. */
 export const TASK_CPU_MILLIS = 1_000
 
-/** Between the id of an endpoint and its start, in the name of a life. */
+/** Separates the id and the start time in the name of an incarnation. */
 const NAME_SEPARATOR = '~'
 
-/** The id in the name of a life. @internal */
+/** Returns the endpoint's id from the name of an incarnation. @internal */
 export function idOfLife(name: string): string {
   return name.split(NAME_SEPARATOR)[0] ?? name
 }
 
 /**
- * One life of an endpoint as the platform's contract describes it: fencing, leases, late orders, lists. The
- * next life under the same id knows nothing of it.
+ * Simulates one incarnation of an endpoint by the platform's contract: fencing, leases, expired
+ * orders and lists of runs. The next incarnation under the same id shares no state with it.
  *
  * @internal
  */
 export class SimulatedEndpoint {
   readonly running = new Map<string, SimulatedRun>()
-  /** Told of each start, to check promises. */
+  /** Called at each start of a run, to check invariants. */
   onStart: (run: SimulatedRun, isLate: boolean) => void = () => undefined
-  /** What its notices say. */
+  /** State in its notices. */
   state = NoticeState.SERVING
   private readonly highestEnded = new Map<string, number>()
   private ended: ListedRunEnd[] = []
@@ -88,9 +88,9 @@
   private fence = 0
   private leaseEndsAt = -Infinity
   private sequence = 0
-  /** Runs that fit now, and those that it last said to fit. */
+  /** Current number of slots, from which the capacity in its notices is derived. */
   places: number
-  /** It has crashed: nothing is carried out here any more, and nothing is answered. */
+  /** Whether it has crashed: it executes and answers no more orders. */
   isGone = false
 
   constructor(readonly options: SimulatedEndpointOptions) {
@@ -101,7 +101,7 @@
     return this.options.clockStartMs + now * (1 - this.options.drift)
   }
 
-  /** Its id and its start, as the adapter to the platform puts them together. */
+  /** Id and start time, joined as in the adapter to the platform. */
   get name(): string {
     const { id, startedAt, isNamedById = false } = this.options
     return isNamedById ? id : `${id}${NAME_SEPARATOR}${startedAt}`
@@ -123,7 +123,7 @@
     })
   }
 
-  /** Lets time pass: runs end, and all of them when the lease has run out. */
+  /** Ends the runs that are due at the given time, or all runs if the lease has expired. */
   advance(now: number): void {
     for (const run of [...this.running.values()]) {
       if (run.endsAt > now) continue
@@ -160,7 +160,7 @@
     return true
   }
 
-  /** Takes a question in, also while it waits for its answer; gives why there is none. */
+  /** Processes a hold, also repeatedly while it waits; returns the failure, if any. */
   hold(now: number, token: number, order: HoldOrder): HoldFailure | undefined {
     this.advance(now)
     if (token < this.fence) return HoldFailure.FENCED
@@ -173,7 +173,7 @@
     return undefined
   }
 
-  /** Whether there are ends that nobody has read. */
+  /** Whether there are ended runs that no leader has acknowledged. */
   get hasEnds(): boolean {
     return this.ended.length > 0
   }
--- a/packages/dispatch/src/lib/soak/SimulatedLeader.ts
+++ b/packages/dispatch/src/lib/soak/SimulatedLeader.ts
@@ -2,7 +2,7 @@
 import type { DispatchEvent } from '../DispatchEvent'
 import type { DispatchMachine } from '../DispatchMachine'
 
-/** What a simulated leader needs of the run around it. @internal */
+/** Interface of the simulation to a leader. @internal */
 export interface LeaderSurroundings {
   readonly machine: DispatchMachine
   readonly now: () => number
@@ -10,7 +10,12 @@
   readonly perform: (actions: readonly DispatchAction[]) => void
 }
 
-/** A dispatcher in simulated time: when it takes events in, and when its actions go out. @internal */
+/**
+ * A dispatcher in simulated time. Subclasses define when it processes events and when its actions
+ * are performed.
+ *
+ * @internal
+ */
 export abstract class SimulatedLeader {
   constructor(protected readonly around: LeaderSurroundings) {}
 
--- a/packages/dispatch/src/lib/soak/StartChecks.ts
+++ b/packages/dispatch/src/lib/soak/StartChecks.ts
@@ -2,33 +2,33 @@
 import type { JobOutcome } from '@cherryhitch/protocol'
 import type { SimulatedEndpoint } from './SimulatedEndpoint'
 
-/** What the checks need of the run around them. @internal */
+/** Interface of the simulation to the checks. @internal */
 export interface CheckedWorld {
   readonly endpoints: readonly SimulatedEndpoint[]
   readonly outcomes: ReadonlyMap<string, JobOutcome>
   readonly now: () => number
 }
 
-/** Endpoints that leave serve so long at least, and may be given tasks until then, in milliseconds. */
+/** Minimum time for which a leaving endpoint serves and may get tasks, in milliseconds. */
 export const DRAIN_MS = 1_000
 
-/** The promises that each start of a task, and each refusal, has to keep. @internal */
+/** Checks the invariants of task starts and refusals. @internal */
 export class StartChecks {
   readonly violations: string[] = []
-  /** How often each task was started. */
+  /** Number of starts of each task. */
   readonly startedTasks = new Map<string, number>()
-  /** When the leader was first told that an endpoint leaves. */
+  /** Time at which the leader first got the leave notice of each endpoint. */
   readonly #leavingSince = new Map<SimulatedEndpoint, number>()
 
   constructor(private readonly world: CheckedWorld) {}
 
-  /** The leader knows from now on that an endpoint leaves. */
+  /** Records that the leader got the leave notice of an endpoint. */
   noteLeaving(endpoint: SimulatedEndpoint): void {
     if (this.#leavingSince.has(endpoint)) return
     this.#leavingSince.set(endpoint, this.world.now())
   }
 
-  /** @param isLate - the endpoint carries the order out long after it was given */
+  /** @param isLate - whether the order is executed long after it was sent */
   onStart(endpoint: SimulatedEndpoint, task: string, isLate: boolean): void {
     this.startedTasks.set(task, (this.startedTasks.get(task) ?? 0) + 1)
     this.#checkRefusal(task)
--- a/packages/dispatch/src/lib/soak/StoredDirectories.ts
+++ b/packages/dispatch/src/lib/soak/StoredDirectories.ts
@@ -4,8 +4,9 @@
 import type { DispatchEvent } from '../DispatchEvent'
 import type { DispatchMachine } from '../DispatchMachine'
 
-/** How often directories are stored, and what a leader tells others at the most, in milliseconds. */
+/** Minimum interval between writes of an instance's directory, in milliseconds. */
 const STORE_MS = 200
+/** Minimum interval between writes when a leader broadcasts losses, in milliseconds. */
 const STORE_NEWS_MS = 50
 
 interface Stored {
@@ -14,7 +15,7 @@
   readonly news: LossUpdate
 }
 
-/** What simulated instances have on their disks of endpoints. @internal */
+/** Directories of endpoints on the disks of simulated instances. @internal */
 export class StoredDirectories {
   readonly #stored = new Map<number, Stored>()
 
@@ -22,7 +23,7 @@
     this.#store(now, instance, machine, STORE_MS)
   }
 
-  /** The instance leads, and tells others of lost endpoints. */
+  /** Stores the directory of a leader that broadcasts losses of endpoints. */
   noteNews(now: number, instance: number, machine: DispatchMachine): void {
     this.#store(now, instance, machine, STORE_NEWS_MS)
   }
@@ -34,7 +35,7 @@
     this.#stored.set(instance, { at: now, notices, news })
   }
 
-  /** What the next process of an instance reads at its start. */
+  /** Returns the stored directory as events for the next process of an instance. */
   read(instance: number): DispatchEvent[] {
     const stored = this.#stored.get(instance)
     if (stored === undefined) return []
--- a/packages/dispatch/src/lib/soak/playLoad.ts
+++ b/packages/dispatch/src/lib/soak/playLoad.ts
@@ -9,82 +9,82 @@
 import { DispatchWorld } from './DispatchWorld'
 import type { LeaderCosts } from './PayingLeader'
 
-/** A kind of job: how many tasks, and how long each takes. */
+/** A class of jobs with its mean number of tasks and run time. */
 interface JobKind {
   readonly tasks: number
   readonly runMs: number
-  /** Of a hundred jobs so many are of this kind. */
+  /** Percentage of the jobs that are of this kind. */
   readonly share: number
 }
 
-/** Kinds of the users' sheets: quick and wide, long, and the many small ones. */
+/** Job mix of the users' data sheets: short and wide, long, and small jobs. */
 const KINDS: readonly JobKind[] = [
   { tasks: 8, runMs: 60, share: 24.5 },
   { tasks: 4, runMs: 900, share: 4.5 },
   { tasks: 2, runMs: 200, share: 71 },
 ]
-/** Standard deviations of logarithms on the sheets: of the work, of its estimate, within a job. */
+/** Standard deviations of the log of work, of its estimate, and within a job, by the sheets. */
 const WORK_SPREAD = 0.4
 const ESTIMATE_SPREAD = 0.4
 const TASK_SPREAD = 0.15
-/** Estimates that are far off are so many times the work. */
+/** Bounds of the factor by which misjudged estimates are off. */
 const LEAST_FACTOR = 0.2
 const MOST_FACTOR = 8
-/** Run times at a slow endpoint over those at its peers. */
+/** Factor by which run times at a slow endpoint exceed those at the others. */
 const SLOW_FACTOR = 4
 const STRETCH = 1.6
 const TARGET_MS = 60
-/** A late answer has a use up to so many times the objective. */
+/** Multiple of the objective up to which a late answer is still useful. */
 const USEFUL_OBJECTIVES = 3
 const DEADLINE_MS = 1_500
 const PLACES_EACH = 2
-/** Until the estimates are learnt, in milliseconds; what comes then isn't counted. */
+/** Warm-up in which estimates are learned, in milliseconds; its jobs are not counted. */
 const WARM_UP_MS = 2_000
 const LEARN_LOAD = 0.6
-/** Seeds of the fate of orders begin here. */
+/** Offset of the seeds for lost and delayed orders from those of the jobs. */
 const ORDER_SEEDS = 1_000
-/** Digits of a hash that make a seed. */
+/** Number of hash digits that form a seed. */
 const SEED_DIGITS = 8
-/** The leader has read all endpoints by then. */
+/** Time within which the leader has polled all endpoints, in milliseconds. */
 const START_MS = 200
-/** Work of a mean job: tasks times their run time. */
+/** Mean work of a job: tasks times their run time. */
 const MEAN_WORK_MS =
   KINDS.reduce((sum, { tasks, runMs, share }) => sum + tasks * runMs * share, 0) / 100
-/** Jobs that come so soon after a change of the load tell of what was before it. */
+/** Jobs this soon after a load change, in milliseconds, still reflect the load before it. */
 const SETTLE_MS = 1_000
-/** The task of a fatal job that takes endpoints down. */
+/** Suffix of the id of the task that crashes endpoints, in a fatal job. */
 const FATAL_TASK = '.0.0.0'
-/** A refusal is early within this share of the objective. */
+/** Share of the objective within which a refusal counts as early. */
 const EARLY_SHARE = 0.25
 
 /** @internal */
 export interface LoadOptions {
-  /** Arriving work over what the places can do. */
+  /** Arriving work as a share of the slot capacity. */
   readonly load: number
   readonly seed?: number
   readonly order?: QueuePolicy
   readonly admission?: JobAdmission
   readonly without?: readonly Mechanism[]
-  /** Share of the orders that get no answer and are carried out late. */
+  /** Share of the orders that are executed late and not answered. */
   readonly lateOrder?: number
-  /** Share of the jobs with a task that takes down each endpoint that starts it; they aren't counted. */
+  /** Share of jobs with a task that crashes every endpoint that starts it; they aren't counted. */
   readonly fatalShare?: number
   /** Share of the jobs whose estimate is off by a factor drawn from 0.2 to 8 times. */
   readonly misjudgedShare?: number
   /** Share of the endpoints that are slow. */
   readonly slowShare?: number
   readonly endpoints?: number
-  /** How long jobs come at this load, in milliseconds. */
+  /** Time for which jobs arrive at this load, in milliseconds. */
   readonly playMs?: number
-  /** The load that follows; then only jobs that come a second after the change or later count. */
+  /** The load that follows; if set, only jobs at least 1 s after the change are counted. */
   readonly then?: { readonly load: number; readonly playMs: number }
-  /** What the leader's work costs it; its decisions take no time by default. */
+  /** Processor time of the leader's work; its decisions take no time by default. */
   readonly costs?: LeaderCosts
-  /** Makes the dispatcher, for measurements. */
+  /** Creates the dispatcher, for measurements. */
   readonly makeMachine?: (options: DispatchOptions) => DispatchMachine
 }
 
-/** The size of the users' small sites. @internal */
+/** Defaults, with the number of endpoints at the users' small sites. @internal */
 export const defaultLoadOptions = {
   seed: 1,
   lateOrder: 0,
@@ -102,9 +102,9 @@
   readonly late: number
   readonly refusedEarly: number
   readonly refusedLate: number
-  /** Heard nothing of use: neither an answer within three objectives nor a refusal. */
+  /** Neither answered within three times the objective nor refused. */
   readonly unserved: number
-  /** What the dispatcher counted while jobs came at this load. */
+  /** Increase of the dispatcher's counters while jobs arrived, without the warm-up. */
   readonly counted: Readonly<DispatchCounters>
   readonly violations: readonly string[]
 }
@@ -117,8 +117,8 @@
 }
 
 /**
- * Plays the mix of the users' sheets, at a share of what the places can do, against one
- * dispatcher: work, its estimates and tasks within a job spread as the sheets say.
+ * Simulates one dispatcher under the job mix of the users' data sheets, at a share of the slot
+ * capacity. Work, its estimates and tasks within a job vary as given in the sheets.
  *
  * @internal
  */
@@ -140,14 +140,14 @@
 }
 
 /**
- * Jobs of the users' mix, drawn one by one, and the dispatcher that gets them. Jobs, the run times of their
- * tasks and the fate of orders are drawn apart from each other: a change that sends more or fewer
- * orders, or starts a task elsewhere, is played with the same jobs.
+ * Generates jobs of the users' mix and submits them to a simulated dispatcher. Jobs, run times of
+ * tasks and failures of orders use independent random sequences, so that a change that sends more
+ * or fewer orders, or starts a task elsewhere, is simulated with the same jobs.
  */
 class LoadPlay {
   readonly world: DispatchWorld
   private readonly random: () => number
-  /** Run time of each job's tasks on average, in milliseconds. */
+  /** Mean run time of each job's tasks, in milliseconds, by job id. */
   private readonly workOf = new Map<string, number>()
 
   constructor(private readonly options: LoadOptions) {
@@ -178,14 +178,14 @@
     this.world.run(START_MS)
   }
 
-  /** Whether a task of a job takes down each endpoint that starts it. */
+  /** Whether a job has a task that crashes every endpoint that starts it. */
   isFatal(id: string): boolean {
     const { seed, fatalShare } = { ...defaultLoadOptions, ...this.options }
     const draw = seededRandom(parseInt(hash64(`${seed}/${id}`).slice(0, SEED_DIGITS), 16))
     return draw() < fatalShare
   }
 
-  /** What an estimate is off by, as a factor. */
+  /** Returns the factor by which the estimate of a job is off. */
   private misjudgement(id: string): number {
     const { seed, misjudgedShare } = { ...defaultLoadOptions, ...this.options }
     const draw = seededRandom(parseInt(hash64(`${seed}+${id}`).slice(0, SEED_DIGITS), 16))
@@ -193,7 +193,7 @@
     return LEAST_FACTOR * (MOST_FACTOR / LEAST_FACTOR) ** draw()
   }
 
-  /** Submits jobs at random times, so many on average that they fill a share of the places. */
+  /** Submits jobs at random times, at a mean rate that uses a share of the slot capacity. */
   submitUntil(end: number, load: number): SentJob[] {
     const { endpoints = defaultLoadOptions.endpoints } = this.options
     const gapMs = MEAN_WORK_MS / (endpoints * PLACES_EACH * load)
@@ -218,7 +218,7 @@
   }
 }
 
-/** A factor of mean 1 whose logarithm has this standard deviation. */
+/** Draws a log-normal factor of mean 1 whose logarithm has this standard deviation. */
 function spread(random: () => number, deviation: number): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random())
   return Math.exp(deviation * normal - deviation ** 2 / 2)
--- a/packages/dispatch/src/lib/soak/runDispatchSoak.test.ts
+++ b/packages/dispatch/src/lib/soak/runDispatchSoak.test.ts
@@ -42,7 +42,7 @@
     it(`violates no invariant when processes restart, with seed ${seed}`, () => {
       assert.deepEqual(runDispatchSoak(seed, STEPS, { hasRestarts: true }).violations, [])
     })
-    it(`violates no invariant when processes restart and proxies are used, with seed ${seed}`, () => {
+    it(`violates no invariant when processes restart, with proxies and seed ${seed}`, () => {
       const options = { hasRestarts: true, proxies: 2 }
       assert.deepEqual(runDispatchSoak(seed, STEPS, options).violations, [])
     })
--- a/packages/dispatch/src/lib/soak/runDispatchSoak.ts
+++ b/packages/dispatch/src/lib/soak/runDispatchSoak.ts
@@ -2,7 +2,7 @@
 import { JobVerdict } from '@cherryhitch/protocol'
 import { DispatchWorld } from './DispatchWorld'
 
-/** What a random run showed. @public */
+/** Result of a randomised run. @public */
 export interface DispatchSoakReport {
   readonly violations: readonly string[]
   readonly completed: number
@@ -11,13 +11,13 @@
 
 /** @public */
 export interface DispatchSoakOptions {
-  /** Whether nobody leads for up to 1.5 s between two leaders. */
+  /** Whether there is no leader for up to 1.5 s between two leaders. */
   readonly hasGaps?: boolean
-  /** Instances that bring the leader's orders to endpoints; some fall silent for a while. */
+  /** Number of instances that forward the leader's orders; some are unreachable for a while. */
   readonly proxies?: number
-  /** Whether processes of dispatchers end and start again, that of the leader among them. */
+  /** Whether processes of dispatchers, including the leader, crash and restart. */
   readonly hasRestarts?: boolean
-  /** Whether endpoints crash or leave and start again under their ids, at once or after a while. */
+  /** Whether endpoints crash or leave and restart under the same id, at once or after a while. */
   readonly hasEndpointRestarts?: boolean
   /** See `DispatchWorldOptions`. */
   readonly resendsToNextProcess?: boolean
@@ -25,14 +25,14 @@
   readonly takesLivesForOne?: boolean
 }
 
-/** Shares of orders and runs that go wrong: about those of the users' own days with trouble. */
+/** Failure rates of orders and runs: about those on the users' own days with trouble. */
 const CHANCES = { lostAnswer: 0.02, lateOrder: 0.02, failedRun: 0.03 }
 const LEADERS = 3
 const STEP_MS = 50
 
 /**
- * One random run: jobs arrive, orders get lost or come late, endpoints are cut off and come anew,
- * and the leadership changes while the old leader still believes in its own.
+ * Simulates one randomised run: jobs arrive, orders are lost or delayed, endpoints become
+ * unreachable, new endpoints join, and the leader changes before the old one notices.
  *
  * @public
  */
@@ -77,7 +77,7 @@
   readonly below: (n: number) => number
 }
 
-/** What goes wrong in one step. */
+/** Injects the failures of one step. */
 function disturb(
   world: DispatchWorld,
   { random, below }: Draw,
@@ -98,7 +98,7 @@
   if (random() < 0.01) addEndpoint(world, below)
 }
 
-/** One endpoint crashes or leaves now and then; one in two is back before its silence is noticed. */
+/** Crashes or drains an endpoint at random; half of them return before the loss is detected. */
 function restartEndpoint(world: DispatchWorld, { random, below }: Draw): void {
   const endpoint = world.endpoints[below(world.endpoints.length)]
   const downMs = random() < 0.5 ? below(20) : below(3_000)
@@ -107,7 +107,7 @@
   else if (random() < 0.02) world.lives.leave(endpoint, downMs)
 }
 
-/** A new endpoint, which one instance hears of at first. */
+/** Adds an endpoint that is announced to only one instance at first. */
 function addEndpoint(world: DispatchWorld, below: Draw['below']): void {
   const id = `e${world.endpointsAdded}`
   world.addEndpoint(id, { knownTo: [below(LEADERS)] })
@@ -120,7 +120,7 @@
   if (random() < 0.05) world.silenceProxy(below(proxies), below(3_000))
 }
 
-/** One instance starts again, or all of them at about the same time; a lost leader has a successor soon. */
+/** Restarts one instance, or all at about the same time, and elects a leader if it was lost. */
 function restart(world: DispatchWorld, below: (n: number) => number): void {
   const isAll = below(3) === 0
   const lost = isAll ? Array.from({ length: LEADERS }, (_, i) => i) : [below(LEADERS)]
--- a/packages/dispatch/src/lib/soak/runFatalTasks.ts
+++ b/packages/dispatch/src/lib/soak/runFatalTasks.ts
@@ -2,27 +2,26 @@
 import { JobVerdict } from '@cherryhitch/protocol'
 import { DispatchWorld } from './DispatchWorld'
 
-/** Instances that end at once without a word. @internal */
+/** Instances that are killed without notice. @internal */
 export enum LostInstances {
   None = 'none',
-  /** The leader. */
   Leader = 'leader',
-  /** The leader alone, or all of them in a third of the cases. */
+  /** All instances in a third of the cases, otherwise the leader only. */
   LeaderOrAll = 'leader_or_all',
 }
 
 /** @internal */
 export interface FatalTasksOptions {
   readonly seed: number
-  /** Share of the jobs with a task that takes down each endpoint that starts it. */
+  /** Share of the jobs with a task that crashes every endpoint that starts it. */
   readonly fatalShare: number
-  /** Whether all endpoints of a rack are lost at once now and then. */
+  /** Whether all endpoints of a random rack are lost at once from time to time. */
   readonly hasGroupLosses?: boolean
-  /** Whether the leadership moves to another instance now and then. */
+  /** Whether leadership moves to another instance from time to time. */
   readonly hasElections?: boolean
-  /** Which instances end at once now and then, with all that they know. */
+  /** Which instances are killed from time to time, losing their state in memory. */
   readonly lostInstances?: LostInstances
-  /** Whether an endpoint that starts again has the id that it had. */
+  /** Whether an endpoint keeps its id when it restarts. */
   readonly keepsIds?: boolean
   readonly steps?: number
 }
@@ -36,14 +35,14 @@
   steps: 300,
 } as const
 
-/** What a run showed. @internal */
+/** Result of a randomised run. @internal */
 export interface FatalTasksReport {
   readonly violations: readonly string[]
   /** Endpoints that were lost under fatal tasks. */
   readonly crashes: number
   /** Jobs with a fatal task that was started. */
   readonly fatalJobs: number
-  /** Jobs without such a task that were shown as failed. */
+  /** Jobs without such a task that were reported as failed. */
   readonly innocentFailed: number
   readonly innocentCompleted: number
   readonly innocentSubmitted: number
@@ -53,18 +52,18 @@
 const ENDPOINTS = 24
 const RACKS = 4
 const STEP_MS = 50
-/** A caller that has heard nothing of use sends its job again after this, in milliseconds. */
+/** Delay after the deadline before a caller resubmits a job of unknown outcome, in milliseconds. */
 const RESUBMIT_MS = 1_300
 const MOST_SUBMISSIONS = 4
-/** How long nobody leads after a leader has ended, in milliseconds. */
+/** Time without a leader after one was killed, in milliseconds. */
 const LEAST_ELECTION_MS = 300
 const MOST_ELECTION_MS = 1_000
 const FRACTION = 0xffffffff
 const DIGITS = 8
 
 /**
- * One random run with tasks that take their endpoint down. Callers send again what ended as
- * unknown; endpoints come back after some seconds, as another life at the same address.
+ * Simulates one randomised run with tasks that crash their endpoint. Callers resubmit jobs of
+ * unknown outcome; endpoints return after some seconds, as a new incarnation at the same address.
  *
  * @internal
  */
@@ -127,7 +126,7 @@
   })
 }
 
-/** The process of the leader ends, with those of the others or alone; another one is elected soon. */
+/** Kills the leader's process, or those of all instances, and elects another leader soon after. */
 function loseLeader(world: DispatchWorld, below: (n: number) => number, isAll: boolean): void {
   const instances = Array.from({ length: LEADERS }, (_, i) => i)
   const leader = instances.findIndex((i) => world.isElected(i))
@@ -138,7 +137,7 @@
   })
 }
 
-/** All endpoints of a rack at once. */
+/** Crashes all endpoints of a rack at once. */
 function loseRack(world: DispatchWorld, number: number): void {
   const lost = world.endpoints.filter(({ options }) => options.rack === `r${number}`)
   for (const endpoint of lost) world.lives.crash(endpoint)
--- a/packages/dispatch/src/lib/soak/simulatedRouting.ts
+++ b/packages/dispatch/src/lib/soak/simulatedRouting.ts
@@ -3,12 +3,12 @@
 
 /** The service of all simulated endpoints. @internal */
 export const SERVICE = 'tracing'
-/** Where callers send their jobs. @internal */
+/** Host to which callers send their jobs. @internal */
 export const HOST = 'calls'
-/** Queues that callers may use. @internal */
+/** Number of queues. @internal */
 export const QUEUES = 3
 
-/** The routing of random runs. @internal */
+/** Routing table of the simulations. @internal */
 export const TABLE = create(RoutingTableSchema, {
   version: 1,
   routes: Array.from({ length: QUEUES }, (_, queue) => ({
