--- a/packages/dispatch/src/lib/soak/DispatchWorld.ts
+++ b/packages/dispatch/src/lib/soak/DispatchWorld.ts
@@ -11,12 +11,12 @@
 import { JobRelay, RelayActionKind, RelayEventKind } from '../relay/JobRelay'
 import type { RelayAction } from '../relay/JobRelay'
 import type { AddedEndpoint, DispatchWorldOptions, SubmitOptions } from './DispatchWorldOptions'
-import { EndpointLives } from './EndpointLives'
-import { OrderCarrier, WAY_MS } from './OrderCarrier'
+import { EndpointLifecycle } from './EndpointLifecycle'
+import { OrderTransport, WAY_MS } from './OrderTransport'
 import { PayingLeader } from './PayingLeader'
 import { Processes } from './Processes'
-import { ProxyWorld } from './ProxyWorld'
-import { FreeLeader } from './SimulatedLeader'
+import { SimulatedOrderRouting } from './SimulatedOrderRouting'
+import { InstantLeader } from './SimulatedLeader'
 import type { SimulatedLeader } from './SimulatedLeader'
 import { requestOf, SentRequests } from './SentRequests'
 import { HOST, SERVICE, TABLE } from './simulatedRouting'
@@ -50,12 +50,12 @@
   readonly #machines: DispatchMachine[]
   readonly #leaders: SimulatedLeader[]
   readonly #relay = new JobRelay()
-  readonly #orders: OrderCarrier
-  readonly #proxies: ProxyWorld
+  readonly #orders: OrderTransport
+  readonly #proxies: SimulatedOrderRouting
   readonly #processes: Processes
   readonly #sent = new SentRequests()
   readonly #stored = new StoredDirectories()
-  readonly lives: EndpointLives
+  readonly lifecycle: EndpointLifecycle
   readonly #cutEndpoints = new Map<string, Set<string>>()
   readonly #cutFromQuorum = new Set<number>()
   readonly #agenda = new EventScheduler({ startMs: 0 })
@@ -66,7 +66,7 @@
 
   constructor(private readonly options: DispatchWorldOptions) {
     this.#processes = new Processes(options.leaders)
-    this.lives = new EndpointLives({
+    this.lifecycle = new EndpointLifecycle({
       endpoints: this.endpoints,
       after: (ms, run) => {
         this.after(ms, run)
@@ -87,7 +87,7 @@
       },
       report: (violation) => this.violations.push(violation),
     })
-    this.#orders = new OrderCarrier({
+    this.#orders = new OrderTransport({
       endpoints: this.endpoints,
       chances: { lostAnswer: 0, lateOrder: 0, failedRun: 0, ...options.chances },
       drawRunMs: (task, endpoint) => {
@@ -102,7 +102,7 @@
       isCut: (caller, endpoint) => this.#isCut(caller, endpoint),
       takesLivesForOne: options.takesLivesForOne === true,
     })
-    this.#proxies = new ProxyWorld({
+    this.#proxies = new SimulatedOrderRouting({
       leaders: options.leaders,
       proxies: options.proxies ?? 0,
       orders: this.#orders,
@@ -143,7 +143,7 @@
       }),
     }
     const { costs } = this.options
-    return costs === undefined ? new FreeLeader(around) : new PayingLeader(around, costs)
+    return costs === undefined ? new InstantLeader(around) : new PayingLeader(around, costs)
   }
 
   get now(): number {
@@ -167,7 +167,7 @@
     {
       address = `${id}:1`,
       rack = 'r',
-      startedAt = this.lives.timeOfDay,
+      startedAt = this.lifecycle.timeOfDay,
       isHeardByOne = false,
       knownTo = isHeardByOne ? [this.#drawInstance()] : [...this.#machines.keys()],
     }: AddedEndpoint = {},
@@ -181,7 +181,7 @@
     const endpoint = new SimulatedEndpoint({ ...own, service: SERVICE, ...more })
     endpoint.onStart = (run, isLate) => {
       this.#checks.onStart(endpoint, run.task, isLate)
-      this.lives.onStart(endpoint, run.task)
+      this.lifecycle.onStart(endpoint, run.task)
     }
     this.#endpointsAdded++
     this.endpoints.push(endpoint)
--- a/packages/dispatch/src/lib/soak/DispatchWorldOptions.ts
+++ b/packages/dispatch/src/lib/soak/DispatchWorldOptions.ts
@@ -3,7 +3,7 @@
 import type { DispatchOptions } from '../DispatchOptions'
 import type { JobAdmission } from '../scheduling/JobAdmission'
 import type { QueuePolicy } from '../scheduling/QueuePolicy'
-import type { WorldChances } from './OrderCarrier'
+import type { WorldChances } from './OrderTransport'
 import type { LeaderCosts } from './PayingLeader'
 
 /** @internal */
--- a/packages/dispatch/src/lib/soak/EndpointLives.ts
+++ b/packages/dispatch/src/lib/soak/EndpointLifecycle.ts
@@ -6,7 +6,7 @@
 import { DRAIN_MS } from './StartChecks'
 
 /** Interface of the simulation to the incarnations of its endpoints. @internal */
-export interface LivesWorld {
+export interface EndpointLifecycleContext {
   readonly endpoints: SimulatedEndpoint[]
   readonly random: () => number
   readonly now: () => number
@@ -40,11 +40,11 @@
 const EPOCH_MS = 1_700_000_000_000
 
 /** Crashes and drains endpoints, and restarts them at the same address. @internal */
-export class EndpointLives {
+export class EndpointLifecycle {
   /** Number of endpoints that were lost under each task. */
   readonly crashes = new Map<string, number>()
 
-  constructor(private readonly world: LivesWorld) {}
+  constructor(private readonly world: EndpointLifecycleContext) {}
 
   /** Current wall clock time, as the start time of a new incarnation. */
   get timeOfDay(): number {
--- a/packages/dispatch/src/lib/soak/OrderCarrier.ts
+++ b/packages/dispatch/src/lib/soak/OrderTransport.ts
@@ -3,7 +3,7 @@
 import type { EndpointOrder, HoldOrder, StartOrder } from '@cherryhitch/protocol'
 import type { OrderAnswer } from '../gateway/EndpointGateway'
 import { noAnswer } from '../gateway/noAnswer'
-import { idOfLife } from './SimulatedEndpoint'
+import { endpointIdOf } from './SimulatedEndpoint'
 import type { SimulatedEndpoint } from './SimulatedEndpoint'
 
 /** Failure probabilities of a simulation, from 0 to 1. @internal */
@@ -20,7 +20,7 @@
 }
 
 /** Interface of the simulation to the transport of orders. @internal */
-export interface OrderWorld {
+export interface OrderTransportContext {
   readonly endpoints: readonly SimulatedEndpoint[]
   readonly chances: WorldChances
   /** Returns the run time of a task at an endpoint, in milliseconds. */
@@ -46,8 +46,8 @@
 export const WAY_MS = 2
 
 /** Simulated transport of orders and answers, which may delay or lose them. @internal */
-export class OrderCarrier {
-  constructor(private readonly world: OrderWorld) {}
+export class OrderTransport {
+  constructor(private readonly world: OrderTransportContext) {}
 
   /**
    * Delivers an order to its endpoint, and the answer to the caller. Either may be lost, and a
@@ -57,7 +57,7 @@
    */
   carry(caller: string, order: EndpointOrder, onAnswer: OnAnswer): void {
     const { random, chances } = this.world
-    const id = idOfLife(order.endpoint)
+    const id = endpointIdOf(order.endpoint)
     let isSettled = false
     const settle: OnAnswer = (answer) => {
       if (isSettled) return
@@ -68,7 +68,7 @@
       settle(noAnswer(order, 'simulated'))
     })
     if (this.world.isCut(caller, id)) return
-    const present = this.presentLife(id)
+    const present = this.currentIncarnation(id)
     if (present === undefined) {
       this.answerForOther(order, settle)
       return
@@ -77,7 +77,7 @@
     const isLost = isLate || random() < chances.lostAnswer
     const isTaken = isLate && order.id % 2 === 0
     this.world.after(isLate ? 2_000 + random() * 3_000 : WAY_MS, () => {
-      const target = isTaken ? present : this.presentLife(id)
+      const target = isTaken ? present : this.currentIncarnation(id)
       if (target === undefined || target.isGone) return
       this.carryOut(target, { order, isLate }, (answer) => {
         if (isLost || this.world.isCut(caller, id) || target.isGone) return
@@ -88,7 +88,7 @@
     })
   }
 
-  private presentLife(id: string): SimulatedEndpoint | undefined {
+  private currentIncarnation(id: string): SimulatedEndpoint | undefined {
     return this.world.endpoints.find(({ options }) => options.id === id)
   }
 
--- a/packages/dispatch/src/lib/soak/SimulatedEndpoint.ts
+++ b/packages/dispatch/src/lib/soak/SimulatedEndpoint.ts
@@ -66,7 +66,7 @@
 const NAME_SEPARATOR = '~'
 
 /** Returns the endpoint's id from the name of an incarnation. @internal */
-export function idOfLife(name: string): string {
+export function endpointIdOf(name: string): string {
   return name.split(NAME_SEPARATOR)[0] ?? name
 }
 
--- a/packages/dispatch/src/lib/soak/SimulatedLeader.ts
+++ b/packages/dispatch/src/lib/soak/SimulatedLeader.ts
@@ -24,7 +24,7 @@
 }
 
 /** A dispatcher whose decisions take no time. @internal */
-export class FreeLeader extends SimulatedLeader {
+export class InstantLeader extends SimulatedLeader {
   override tell(event: DispatchEvent): void {
     const { machine, now, perform } = this.around
     perform(machine.step(now(), event))
--- a/packages/dispatch/src/lib/soak/ProxyWorld.ts
+++ b/packages/dispatch/src/lib/soak/SimulatedOrderRouting.ts
@@ -9,15 +9,15 @@
 import { OrderProxy } from '../orders/OrderProxy'
 import { OrderRouter, RouterActionKind, RouterEventKind } from '../orders/OrderRouter'
 import type { RouterAction } from '../orders/OrderRouter'
-import { WAY_MS } from './OrderCarrier'
-import type { OrderCarrier } from './OrderCarrier'
+import { WAY_MS } from './OrderTransport'
+import type { OrderTransport } from './OrderTransport'
 import type { Processes } from './Processes'
 
 /** @internal */
-export interface ProxyWorldOptions {
+export interface SimulatedOrderRoutingOptions {
   readonly leaders: number
   readonly proxies: number
-  readonly orders: OrderCarrier
+  readonly orders: OrderTransport
   readonly now: () => number
   readonly after: (ms: number, run: () => void) => void
   readonly tell: (leader: number, event: DispatchEvent) => void
@@ -25,12 +25,12 @@
 }
 
 /** Routes orders from leaders to endpoints, directly or through proxies. @internal */
-export class ProxyWorld {
+export class SimulatedOrderRouting {
   private readonly routers: OrderRouter[]
   private readonly proxies: OrderProxy[]
   private readonly silentUntil = new Map<string, number>()
 
-  constructor(private readonly options: ProxyWorldOptions) {
+  constructor(private readonly options: SimulatedOrderRoutingOptions) {
     this.routers = Array.from({ length: options.leaders }, (_, i) => this.makeRouter(i))
     this.proxies = Array.from({ length: options.proxies }, (_, i) => this.makeProxy(`p${i}`))
   }
@@ -137,7 +137,7 @@
 class CarryingGateway extends EndpointGateway {
   constructor(
     private readonly caller: string,
-    private readonly orders: OrderCarrier,
+    private readonly orders: OrderTransport,
   ) {
     super()
   }
--- a/packages/dispatch/src/lib/soak/runDispatchSoak.ts
+++ b/packages/dispatch/src/lib/soak/runDispatchSoak.ts
@@ -103,8 +103,8 @@
   const endpoint = world.endpoints[below(world.endpoints.length)]
   const downMs = random() < 0.5 ? below(20) : below(3_000)
   if (endpoint === undefined) return
-  if (random() < 0.06) world.lives.crashWithLateNotice(endpoint, downMs)
-  else if (random() < 0.02) world.lives.leave(endpoint, downMs)
+  if (random() < 0.06) world.lifecycle.crashWithLateNotice(endpoint, downMs)
+  else if (random() < 0.02) world.lifecycle.leave(endpoint, downMs)
 }
 
 /** Adds an endpoint that is announced to only one instance at first. */
--- a/packages/dispatch/src/lib/soak/runFatalTasks.ts
+++ b/packages/dispatch/src/lib/soak/runFatalTasks.ts
@@ -104,7 +104,7 @@
   const count = (verdict: JobVerdict): number => {
     return innocent.filter((job) => world.outcomes.get(job)?.verdict === verdict).length
   }
-  const { crashes } = world.lives
+  const { crashes } = world.lifecycle
   return {
     violations: world.violations,
     crashes: [...crashes.values()].reduce((sum, one) => sum + one, 0),
@@ -140,5 +140,5 @@
 /** Crashes all endpoints of a rack at once. */
 function loseRack(world: DispatchWorld, number: number): void {
   const lost = world.endpoints.filter(({ options }) => options.rack === `r${number}`)
-  for (const endpoint of lost) world.lives.crash(endpoint)
+  for (const endpoint of lost) world.lifecycle.crash(endpoint)
 }
