--- a/packages/dispatch/src/lib/soak/EndpointLifecycle.ts
+++ b/packages/dispatch/src/lib/soak/EndpointLifecycle.ts
@@ -76,7 +76,7 @@
     })
   }
 
-  /** The same, with a last notice that may arrive after the next incarnation has started. */
+  /** Crashes an endpoint whose last notice may arrive after its next incarnation has started. */
   crashWithLateNotice(endpoint: SimulatedEndpoint, downMs: number): void {
     const { after, random, tellOne } = this.world
     this.crash(endpoint, downMs)
