--- a/packages/dispatch/src/lib/soak/ProxyWorld.ts
+++ b/packages/dispatch/src/lib/soak/SimulatedOrderRouting.ts
@@ -9,33 +9,33 @@
 import { OrderProxy } from '../orders/OrderProxy'
 import { OrderRouter, RouterActionKind, RouterEventKind } from '../orders/OrderRouter'
 import type { RouterAction } from '../orders/OrderRouter'
-import { WAY_MS } from './OrderCarrier'
-import type { OrderCarrier } from './OrderCarrier'
+import { WAY_MS } from './OrderTransport'
+import type { OrderTransport } from './OrderTransport'
 import type { Processes } from './Processes'
 
 /** @internal */
-export interface ProxyWorldOptions {
+export interface SimulatedOrderRoutingOptions {
   readonly leaders: number
   readonly proxies: number
-  readonly orders: OrderCarrier
+  readonly orders: OrderTransport
   readonly now: () => number
   readonly after: (ms: number, run: () => void) => void
   readonly tell: (leader: number, event: DispatchEvent) => void
   readonly processes: Processes
 }
 
-/** The ways between leaders and endpoints: straight, or over proxies that may fall silent. @internal */
-export class ProxyWorld {
+/** Routes orders from leaders to endpoints, directly or through proxies. @internal */
+export class SimulatedOrderRouting {
   private readonly routers: OrderRouter[]
   private readonly proxies: OrderProxy[]
   private readonly silentUntil = new Map<string, number>()
 
-  constructor(private readonly options: ProxyWorldOptions) {
+  constructor(private readonly options: SimulatedOrderRoutingOptions) {
     this.routers = Array.from({ length: options.leaders }, (_, i) => this.makeRouter(i))
     this.proxies = Array.from({ length: options.proxies }, (_, i) => this.makeProxy(`p${i}`))
   }
 
-  /** A leader's process has ended, and another one starts. */
+  /** Resets the router of a leader whose process restarts. */
   restart(leader: number): void {
     this.routers[leader] = this.makeRouter(leader)
   }
@@ -119,14 +119,14 @@
     })
   }
 
-  /** A leader takes in what a proxy sends. */
+  /** Processes a message from a proxy at a leader. */
   private receive(from: string, leader: number, { body }: Envelope): void {
     if (body.case !== 'endpointAnswers') return
     const event = { kind: RouterEventKind.Answers, from, ...body.value } as const
     this.step(leader, (router, now) => router.step(now, event))
   }
 
-  /** A message to a proxy or from it; one that meets the silence is delivered after it. */
+  /** Delivers a message to or from a proxy, after its silence if it is silenced. */
   private bring(proxy: string, deliver: () => void): void {
     const silentMs = Math.max(0, (this.silentUntil.get(proxy) ?? 0) - this.options.now())
     this.options.after(silentMs + WAY_MS, deliver)
@@ -137,7 +137,7 @@
 class CarryingGateway extends EndpointGateway {
   constructor(
     private readonly caller: string,
-    private readonly orders: OrderCarrier,
+    private readonly orders: OrderTransport,
   ) {
     super()
   }
