--- a/packages/http-client/src/index.ts
+++ b/packages/http-client/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * One HTTP request to an endpoint, with the bounds of its answer.
+ * HTTP requests to endpoints, with limits on the time and size of the response.
  *
  * @packageDocumentation
  */
 export { exchange, HttpFailure, startExchange } from './lib/exchange'
-export type { ExchangeEnd, HttpExchange, HttpReply } from './lib/exchange'
+export type { HttpReply, HttpRequestOptions, HttpResult } from './lib/exchange'
--- a/packages/http-client/src/lib/exchange.test.ts
+++ b/packages/http-client/src/lib/exchange.test.ts
@@ -6,14 +6,14 @@
 import type { HttpFailure } from './exchange'
 import { exchange } from './exchange'
 
-/** Hands out connections that never come about, as when packets are swallowed on their way. */
-class SwallowingAgent extends http.Agent {
+/** Returns sockets that never connect, as when the network drops all packets. */
+class UnconnectedAgent extends http.Agent {
   createConnection(): net.Socket {
     return Object.assign(new net.Socket(), { connecting: true })
   }
 }
 
-function ask(agent: http.Agent, answerTimeoutMs: number): Promise<HttpFailure> {
+function failRequest(agent: http.Agent, answerTimeoutMs: number): Promise<HttpFailure> {
   const request = exchange({
     method: 'PUT',
     address: '127.0.0.1:9',
@@ -29,15 +29,15 @@
 }
 
 describe('a request without a connection', () => {
-  it('fails in time, and surely did not arrive', async () => {
-    const failure = await ask(new SwallowingAgent(), 60_000)
+  it('fails within the connect timeout and cannot have arrived', async () => {
+    const failure = await failRequest(new UnconnectedAgent(), 60_000)
     assert.equal(failure.mayHaveArrived, false)
     assert.match(failure.detail, /connection was not made/)
   })
 
-  it('that waits for a free one surely did not arrive either', async () => {
-    const agent = new SwallowingAgent({ maxSockets: 1 })
-    const [, waiting] = await Promise.all([ask(agent, 60_000), ask(agent, 5)])
+  it('cannot have arrived when it timed out waiting for a free socket', async () => {
+    const agent = new UnconnectedAgent({ maxSockets: 1 })
+    const [, waiting] = await Promise.all([failRequest(agent, 60_000), failRequest(agent, 5)])
     assert.equal(waiting.mayHaveArrived, false)
   })
 })
--- a/packages/http-client/src/lib/exchange.ts
+++ b/packages/http-client/src/lib/exchange.ts
@@ -4,73 +4,76 @@
 import { Data, Effect } from 'effect'
 import type { Result } from 'ts-results'
 
-/** One HTTP request and the bounds of its answer. @public */
-export interface HttpExchange {
+/** One HTTP request and the limits of its response. @public */
+export interface HttpRequestOptions {
   readonly method: string
-  /** Host and port. */
+  /** Host and port of the server. */
   readonly address: string
   readonly path: string
   readonly headers: Readonly<Record<string, string>>
   readonly body: string
   readonly agent: http.Agent
-  /** Milliseconds until a new connection has to be there. */
+  /** Time limit for establishing a new connection. */
   readonly connectTimeoutMs: number
-  /** Milliseconds until the whole answer has to be there. */
+  /** Time limit for receiving the whole response. */
   readonly answerTimeoutMs: number
-  /** Longest answer in bytes. */
+  /** Maximum size of the response body. */
   readonly maxAnswerBytes: number
 }
 
-/** @public */
+/** An HTTP response. @public */
 export interface HttpReply {
   readonly status: number
   readonly body: string
-  /** The answer was cut off at the bound. */
+  /** The body exceeded `maxAnswerBytes`; `body` is then empty. */
   readonly oversized: boolean
 }
 
-/** No answer came. @public */
+/** The request failed without a complete response. @public */
 export class HttpFailure extends Data.TaggedError('HttpFailure')<{
-  /** Whether any byte of the request may have reached the other end. */
+  /** Whether any byte of the request may have reached the server. */
   readonly mayHaveArrived: boolean
   readonly detail: string
 }> {}
 
 const KEEP_ALIVE_PROBE_MS = 1000
-/** Node takes no longer timer. */
+/** The longest delay that `setTimeout` supports. */
 const MAX_TIMER_MS = 2_147_483_647
 
-/** How a request ended: with an answer, or without. @public */
-export type ExchangeEnd = Result<HttpReply, HttpFailure>
+/** The outcome of a request: a response or a failure. @public */
+export type HttpResult = Result<HttpReply, HttpFailure>
 
 /**
- * Carries out one request.
+ * Sends one request.
  *
- * A request that never had a connected socket can't have arrived. On a connection that was used
- * before, a reset tells nothing: the request may have been read before it.
+ * A request that never had a connected socket can't have arrived. A reset of a reused connection
+ * is inconclusive, since the server may have read the request before the reset.
  *
- * @param done - called once, never before this returns
- * @returns gives the request up and closes the connection
+ * @param done - called once, and never before this function returns
+ * @returns a function that aborts the request and closes the connection
  * @public
  */
-export function startExchange(options: HttpExchange, done: (end: ExchangeEnd) => void): () => void {
-  const run = new RunningExchange(options, done)
+export function startExchange(
+  options: HttpRequestOptions,
+  done: (end: HttpResult) => void,
+): () => void {
+  const request = new PendingRequest(options, done)
   return () => {
-    run.abort('It was given up.')
+    request.abort('It was given up.')
   }
 }
 
-/** The same as an effect; interrupting it closes the connection. @public */
-export function exchange(options: HttpExchange): Effect.Effect<HttpReply, HttpFailure> {
+/** Like {@link startExchange}, as an effect; interruption closes the connection. @public */
+export function exchange(options: HttpRequestOptions): Effect.Effect<HttpReply, HttpFailure> {
   return Effect.callback<HttpReply, HttpFailure>((resume) => {
-    const giveUp = startExchange(options, (end) => {
+    const abort = startExchange(options, (end) => {
       resume(end.ok ? Effect.succeed(end.val) : Effect.fail(end.val))
     })
-    return Effect.sync(giveUp)
+    return Effect.sync(abort)
   })
 }
 
-class RunningExchange {
+class PendingRequest {
   private readonly req: http.ClientRequest
   private readonly answerTimer: NodeJS.Timeout
   private connectTimer: NodeJS.Timeout | undefined
@@ -78,18 +81,19 @@
   private settled = false
 
   constructor(
-    private readonly options: HttpExchange,
-    private readonly done: (end: ExchangeEnd) => void,
+    private readonly options: HttpRequestOptions,
+    private readonly done: (end: HttpResult) => void,
   ) {
     const { host, port } = splitAddress(options.address)
     const { method, path, agent, body } = options
-    // A flat list is written as it is; the fields of an object are set and checked one by one.
+    // Node writes a flat list as it is, but sets and checks the fields of an object one by one.
     const headers = ['host', options.address, 'content-length', String(Buffer.byteLength(body))]
     for (const name in options.headers) headers.push(name, options.headers[name] ?? '')
     this.req = http.request({ host, port, method, path, agent, headers })
     this.answerTimer = setTimeout(
       () => {
-        // After a standstill of this process the timer comes first, though the answer is there.
+        // After this process was stalled, the timer fires before a response that has already
+        // arrived is read. `setImmediate` lets that pending I/O run first.
         setImmediate(() => {
           if (!this.settled) this.abort('The answer did not come in time.')
         })
@@ -97,10 +101,10 @@
       Math.min(options.answerTimeoutMs, MAX_TIMER_MS),
     )
     this.req.on('socket', (socket) => {
-      this.watch(socket)
+      this.trackConnection(socket)
     })
     this.req.on('response', (res) => {
-      this.read(res)
+      this.readResponse(res)
     })
     this.req.on('error', (err) => {
       this.fail(err.message)
@@ -108,13 +112,13 @@
     this.req.end(body)
   }
 
-  /** Gives up and closes the connection. */
+  /** Fails the request and closes the connection. */
   abort(detail: string): void {
     this.fail(detail)
     this.req.destroy()
   }
 
-  private watch(socket: Socket): void {
+  private trackConnection(socket: Socket): void {
     if (!socket.connecting) {
       this.connected = true
       return
@@ -129,7 +133,7 @@
     })
   }
 
-  private read(res: http.IncomingMessage): void {
+  private readResponse(res: http.IncomingMessage): void {
     const chunks: Buffer[] = []
     let size = 0
     const finish = (oversized: boolean): void => {
@@ -160,7 +164,7 @@
     this.settle(Err(new HttpFailure({ mayHaveArrived: this.connected, detail })))
   }
 
-  private settle(end: ExchangeEnd): void {
+  private settle(end: HttpResult): void {
     if (this.settled) return
     this.settled = true
     clearTimeout(this.answerTimer)
--- a/packages/telemetry/src/lib/errors/TelemetryError.ts
+++ b/packages/telemetry/src/lib/errors/TelemetryError.ts
@@ -4,7 +4,11 @@
   File = 'file',
 }
 
-/** An error of logs, metrics or traces at their start; a running one only counts its losses. @public */
+/**
+ * Thrown when logs, metrics or traces cannot be started. Once they run, losses are only counted.
+ *
+ * @public
+ */
 export class TelemetryError extends Error {
   override readonly name = 'TelemetryError'
 
--- a/packages/telemetry/src/lib/files/LineWriter.test.ts
+++ b/packages/telemetry/src/lib/files/LineWriter.test.ts
@@ -3,8 +3,8 @@
 import { afterEach, beforeEach, describe, it, mock } from 'node:test'
 import { LineWriter } from './LineWriter'
 
-/** A stream that keeps what it is given, one item for each write. */
-class Kept extends Writable {
+/** Records each write as a separate chunk. */
+class RecordingStream extends Writable {
   readonly chunks: string[] = []
 
   override _write(chunk: Buffer, _encoding: string, done: () => void): void {
@@ -13,7 +13,7 @@
   }
 }
 
-describe('a writer of lines', () => {
+describe('LineWriter', () => {
   beforeEach(() => {
     mock.timers.enable({ apis: ['setTimeout'] })
   })
@@ -21,8 +21,8 @@
     mock.timers.reset()
   })
 
-  it('writes lines together that come together', async () => {
-    const stream = new Kept()
+  it('batches lines that arrive close together', async () => {
+    const stream = new RecordingStream()
     const writer = new LineWriter(stream)
     writer.write('a\n')
     writer.write('b\n')
@@ -34,16 +34,16 @@
     await writer.close()
   })
 
-  it('writes out what it has when it is closed', async () => {
-    const stream = new Kept()
+  it('flushes buffered lines on close', async () => {
+    const stream = new RecordingStream()
     const writer = new LineWriter(stream)
     writer.write('last\n')
     await writer.close()
     assert.deepEqual(stream.chunks, ['last\n'])
   })
 
-  it('writes at once what is a lot, in the order in which it came', async () => {
-    const stream = new Kept()
+  it('flushes a large batch immediately, in order of arrival', async () => {
+    const stream = new RecordingStream()
     const writer = new LineWriter(stream)
     const long = 'x'.repeat(70_000)
     writer.write('first\n')
--- a/packages/telemetry/src/lib/files/LineWriter.ts
+++ b/packages/telemetry/src/lib/files/LineWriter.ts
@@ -1,30 +1,31 @@
 import type { Writable } from 'node:stream'
 
-/** Bytes that may wait for a slow disk before lines are dropped. */
+/** Bytes that the stream may buffer on a slow disk before lines are dropped. */
 export const MAX_BUFFERED_BYTES = 4 * 1024 * 1024
 /**
- * Lines that come within this are written together, in milliseconds: a leader writes some 500 a
- * second, and each write is a call of the system. A process that is killed loses as much of its log.
+ * Lines that arrive within this delay are written as one batch. A leader logs about 500 lines per
+ * second, and each write is a system call. A process that is killed loses the log lines of up to
+ * this long.
  */
-const GATHER_MS = 20
-/** More characters than these are written at once. */
-const MAX_GATHERED = 64 * 1024
+const BATCH_DELAY_MS = 20
+/** A batch of more characters than this is written immediately. */
+const MAX_BATCH_LENGTH = 64 * 1024
 
-/** Whatever ends the process, the last lines tell why. */
+/** Flushed on process exit, since the last lines tell why the process ended. */
 const openWriters = new Set<LineWriter>()
 process.once('exit', () => {
   for (const writer of openWriters) writer.flush()
 })
 
 /**
- * Writes lines to a stream without ever waiting: what does not fit into the buffer is dropped.
+ * Writes lines to a stream without blocking; lines that exceed the buffer are dropped.
  *
  * @internal
  */
 export class LineWriter {
   #dropped = 0
   #isBroken = false
-  #gathered = ''
+  #batch = ''
   #timer: NodeJS.Timeout | undefined
 
   constructor(
@@ -37,39 +38,39 @@
     openWriters.add(this)
   }
 
-  /** Lines lost to a full buffer or to a stream that failed. */
+  /** Number of lines lost to a full buffer or a failed stream. */
   get dropped(): number {
     return this.#dropped
   }
 
-  /** Takes a line with its end; false when it was dropped. */
+  /** Queues a line, which includes its line ending. Returns false if the line was dropped. */
   write(line: string): boolean {
     if (this.#isBroken || this.stream.writableLength > this.maxBufferedBytes) {
       this.#dropped += 1
       return false
     }
-    this.#gathered += line
-    if (this.#gathered.length > MAX_GATHERED) this.flush()
-    else this.#timer ??= setTimeout(this.flush, GATHER_MS)
+    this.#batch += line
+    if (this.#batch.length > MAX_BATCH_LENGTH) this.flush()
+    else this.#timer ??= setTimeout(this.flush, BATCH_DELAY_MS)
     return true
   }
 
-  /** Hands all lines to the stream. */
+  /** Passes all batched lines to the stream. */
   readonly flush = (): void => {
     clearTimeout(this.#timer)
     this.#timer = undefined
-    const lines = this.#gathered
-    this.#gathered = ''
+    const lines = this.#batch
+    this.#batch = ''
     if (lines !== '' && !this.#isBroken) this.stream.write(lines)
   }
 
-  /** Hands all lines to the stream, and leaves it open. */
+  /** Flushes and stops flushing on process exit; leaves the stream open. */
   release(): void {
     this.flush()
     openWriters.delete(this)
   }
 
-  /** Writes out what is buffered, and closes the stream. */
+  /** Flushes all lines and closes the stream. */
   close(): Promise<void> {
     this.release()
     return new Promise((resolve) => {
--- a/packages/telemetry/src/lib/files/openLineFile.ts
+++ b/packages/telemetry/src/lib/files/openLineFile.ts
@@ -4,7 +4,7 @@
 import { TelemetryError, TelemetryErrorKind } from '../errors/TelemetryError'
 import { LineWriter } from './LineWriter'
 
-/** Opens a file to append lines to. It is flushed and closed with the scope. @internal */
+/** Opens a file for appending lines; flushed and closed with the scope. @internal */
 export function openLineFile(file: string): Effect.Effect<LineWriter, TelemetryError, Scope.Scope> {
   const open = Effect.tryPromise({
     try: async () => new LineWriter((await fs.open(file, 'a')).createWriteStream()),
--- a/packages/telemetry/src/lib/logs/Logger.ts
+++ b/packages/telemetry/src/lib/logs/Logger.ts
@@ -6,15 +6,15 @@
 
 type Severity = keyof PartLog
 
-/** What tells one kind of line from another. */
+/** Lines that agree in these fields share a rate limit. */
 interface LineKind {
   readonly part: string
   readonly severity: Severity
-  readonly sentence: string
+  readonly message: string
 }
 
 const LOG_PART = 'log'
-/** Bunyan's own fields: given ones would overwrite them, such as the level of the line. */
+/** Bunyan's own fields. Caller fields of these names would overwrite them, such as the level. */
 const reservedFields: ReadonlySet<string> = new Set([
   'name',
   'hostname',
@@ -26,7 +26,7 @@
   'v',
 ])
 
-/** The log of a process. Writing never waits; lines above the limits are counted. @public */
+/** The log of a process. Writing never blocks; lines above the limits are only counted. @public */
 export class Logger {
   readonly #limiter: FloodLimiter<LineKind>
   #heldBack = 0
@@ -41,12 +41,12 @@
     this.#limiter = new FloodLimiter(limits)
   }
 
-  /** The log of one part; its lines read `part: sentence`. */
+  /** Returns the log of one part; its lines read `part: message`. */
   forPart(part: string): PartLog {
     const write =
       (severity: Severity) =>
-      (sentence: string, fields: LogFields = {}): void => {
-        this.#write({ part, severity, sentence }, fields)
+      (message: string, fields: LogFields = {}): void => {
+        this.#write({ part, severity, message }, fields)
       }
     return {
       debug: write('debug'),
@@ -56,27 +56,28 @@
     }
   }
 
-  /** Lines that were not written: above the limits, or lost to a slow or failed output. */
+  /** Lines that were not written: over the limits, or lost to a slow or failed output. */
   counters(): Readonly<Record<'heldBack' | 'dropped', number>> {
     return { heldBack: this.#heldBack, dropped: this.output.dropped }
   }
 
-  /** Writes how many lines were held back; `isLast` ends the period at once. @internal */
+  /** Logs how many lines were suppressed; `isLast` ends the period immediately. @internal */
   summarise(isLast: boolean): void {
     const now = this.now()
     const summaries = isLast ? this.#limiter.flush(now) : this.#limiter.sweep(now)
     for (const { key, count } of summaries) {
-      if (key === undefined) this.sink.warn(`${LOG_PART}: ${count} more lines held back`)
-      else this.sink[key.severity](`${key.part}: ${count} more of "${key.sentence}"`)
+      if (key === undefined)
+        this.sink.warn(`${LOG_PART}: ${count} more lines suppressed by the rate limit`)
+      else this.sink[key.severity](`${key.part}: ${count} more of "${key.message}"`)
     }
   }
 
   #write(kind: LineKind, fields: LogFields): void {
-    const { part, severity, sentence } = kind
+    const { part, severity, message } = kind
     if (!this.sink[severity]()) return
-    const id = `${severity}/${part}/${sentence}`
+    const id = `${severity}/${part}/${message}`
     if (this.#limiter.admit(this.now(), id, kind)) {
-      this.sink[severity](withoutReserved(fields), `${part}: ${sentence}`)
+      this.sink[severity](renameReserved(fields), `${part}: ${message}`)
     } else {
       this.#heldBack += 1
     }
@@ -88,8 +89,8 @@
   return false
 }
 
-/** Renames fields that would overwrite those of the line. */
-function withoutReserved(fields: LogFields): LogFields {
+/** Adds the prefix `field_` to fields that would overwrite bunyan's own. */
+function renameReserved(fields: LogFields): LogFields {
   if (!hasReserved(fields)) return fields
   const entries = Object.entries(fields).map(([key, value]) => [
     reservedFields.has(key) ? `field_${key}` : key,
--- a/packages/telemetry/src/lib/logs/PartLog.ts
+++ b/packages/telemetry/src/lib/logs/PartLog.ts
@@ -1,6 +1,6 @@
 /**
- * Fields of a log line beside its sentence; `err` takes an Error.
- * Names of the line itself, such as `level` or `time`, are written as `field_level`.
+ * Structured fields of a log line; `err` takes an Error.
+ * A field whose name bunyan reserves, such as `level`, is written with a prefix: `field_level`.
  *
  * @public
  */
@@ -8,8 +8,8 @@
 
 /** Log of one part of the program; each line starts with the part's name. @public */
 export interface PartLog {
-  debug(sentence: string, fields?: LogFields): void
-  info(sentence: string, fields?: LogFields): void
-  warn(sentence: string, fields?: LogFields): void
-  error(sentence: string, fields?: LogFields): void
+  debug(message: string, fields?: LogFields): void
+  info(message: string, fields?: LogFields): void
+  warn(message: string, fields?: LogFields): void
+  error(message: string, fields?: LogFields): void
 }
--- a/packages/telemetry/src/lib/logs/createLogger.test.ts
+++ b/packages/telemetry/src/lib/logs/createLogger.test.ts
@@ -23,7 +23,7 @@
   readonly err?: { readonly message: string }
 }
 
-/** Logs into a file and reads it back. */
+/** Logs to a file and returns its parsed lines. */
 async function linesOf(
   options: Partial<LoggerOptions>,
   use: (logger: Logger) => void,
@@ -38,7 +38,7 @@
 }
 
 describe('createLogger', () => {
-  it('starts each line with the prefix of its part, and keeps the fields', async () => {
+  it('prefixes each line with its part and keeps the fields', async () => {
     const lines = await linesOf({}, (logger) => {
       logger.forPart('owner').info('task refused', { job: 'j1' })
       logger.forPart('links').error('peer lost', { err: new Error('reset') })
@@ -56,7 +56,7 @@
     assert.equal(lines[1]?.err?.message, 'reset')
   })
 
-  it('writes what its level asks for', async () => {
+  it('writes only lines at or above its level', async () => {
     const lines = await linesOf({ level: LogLevel.Error }, (logger) => {
       const log = logger.forPart('owner')
       log.warn('a warning')
@@ -68,7 +68,7 @@
     )
   })
 
-  it('does not take a percent sign for a format, nor fields for its own', async () => {
+  it('does not interpret format specifiers, and protects reserved fields', async () => {
     const lines = await linesOf({}, (logger) => {
       logger.forPart('owner').info('used %s of %d', { msg: 'other', level: 60 })
     })
@@ -76,7 +76,7 @@
     assert.equal(lines[0].level, 30)
   })
 
-  it('counts and sums up a flood of the same sentence', async () => {
+  it('suppresses, counts and summarises repeats of the same message', async () => {
     let counters = {}
     const lines = await linesOf({ limits: { maxRepeats: 3 } }, (logger) => {
       for (let i = 0; i < 1000; i++) logger.forPart('links').warn('stream refused', { i })
@@ -110,7 +110,7 @@
     assert.equal(limiter.admit(1002, 'a', 'a'), true)
   })
 
-  it('limits lines that all differ, in bounded memory', () => {
+  it('limits lines that all differ, within bounded memory', () => {
     const limiter = new FloodLimiter<number>(limits)
     let admitted = 0
     for (let i = 0; i < 10_000; i++) admitted += limiter.admit(i / 100, `line ${i}`, i) ? 1 : 0
--- a/packages/telemetry/src/lib/logs/createLogger.ts
+++ b/packages/telemetry/src/lib/logs/createLogger.ts
@@ -18,13 +18,13 @@
 
 /** @public */
 export interface LoggerOptions {
-  /** Becomes the `name` of each line, such as the program and its instance. */
+  /** Joined with `/` into the `name` of each line, such as the program and its instance. */
   readonly name: readonly string[]
   readonly level?: LogLevel
-  /** Lines are appended to it; without it they go to the standard output. */
+  /** File that lines are appended to; standard output by default. */
   readonly file?: string
   readonly limits?: Partial<FloodLimits>
-  /** Present time in milliseconds; for tests. */
+  /** Current time in milliseconds; replaced in tests. */
   readonly now?: () => number
 }
 
@@ -63,7 +63,7 @@
   })
 }
 
-/** Bunyan calls `write` alone. */
+/** Bunyan calls only `write` of its streams. */
 function toStream(output: LineWriter): NodeJS.WritableStream {
   return { write: (line: string) => output.write(line) } as unknown as NodeJS.WritableStream
 }
--- a/packages/telemetry/src/lib/metrics/Metrics.test.ts
+++ b/packages/telemetry/src/lib/metrics/Metrics.test.ts
@@ -16,10 +16,10 @@
   for (const metrics of opened.splice(0)) metrics.close()
 })
 
-/** Values are what Go's ParseFloat takes, where NaN may be written in any case. */
+/** Values follow Go's ParseFloat, which accepts NaN in any case. */
 const linePattern = /^([a-z_][a-z0-9_]*)(\{[^{}]*\})? (nan|[+-]?inf|[0-9.e+-]+)$/i
 
-/** Reads the text format: name to the value of its last line. */
+/** Parses the text format into a map from each metric name to the value of its last line. */
 async function scrape(metrics: Metrics): Promise<Map<string, number>> {
   const { body, contentType } = await metrics.render()
   assert.match(contentType, /^text\/plain/)
@@ -35,7 +35,7 @@
 }
 
 describe('Metrics', () => {
-  it('shows the present numbers of a part at each scrape, later keys included', async () => {
+  it('exposes current values at each scrape, including keys added later', async () => {
     const metrics = open()
     const numbers: Record<string, number> = { batchesSent: 3, queueSize: 7 }
     metrics.registerCounters('links', 'Links between instances.', () => numbers)
@@ -48,7 +48,7 @@
     assert.ok(values.has('process_cpu_seconds_total'))
   })
 
-  it('shows the other parts when one cannot be read', async () => {
+  it('exposes the other parts when one cannot be read', async () => {
     const metrics = open()
     metrics.registerCounters('owner', 'Owner.', () => {
       throw new Error('defect')
@@ -59,7 +59,7 @@
     assert.equal(values.get('cherryhitch_metrics_failed_reads_total'), 1)
   })
 
-  it('keeps histograms', async () => {
+  it('exposes the sum and count of a histogram', async () => {
     const metrics = open()
     const waits = metrics.histogram('queue_wait_ms', 'Wait in the queue.', [1, 10], ['service'])
     for (const value of [0.5, 5, 50]) waits.observe(value, { service: 's1' })
@@ -68,7 +68,7 @@
     assert.equal(values.get('cherryhitch_queue_wait_ms_sum'), 55.5)
   })
 
-  it('keeps two processes apart', async () => {
+  it('uses a separate registry for each Metrics object', async () => {
     const first = open()
     const second = open()
     first.registerCounters('links', 'Links.', () => ({ sent: 1 }))
--- a/packages/telemetry/src/lib/metrics/Metrics.ts
+++ b/packages/telemetry/src/lib/metrics/Metrics.ts
@@ -7,18 +7,18 @@
   readonly zone: string
 }
 
-/** Metrics in the text format of Prometheus. @public */
+/** Metrics in the Prometheus text format. @public */
 export interface MetricsText {
   readonly contentType: string
   readonly body: string
 }
 
-/** A distribution that values are added to. @public */
+/** Records observations in a histogram. @public */
 export interface HistogramHandle {
   observe(value: number, labels?: Readonly<Record<string, string>>): void
 }
 
-/** Present numbers of a part. @public */
+/** Returns the current counters and gauges of a part. @public */
 export type ReadCounters = () => Readonly<Record<string, number>>
 
 interface Source {
@@ -28,21 +28,21 @@
 
 const PREFIX = 'cherryhitch_'
 /**
- * How often the delay of the event loop is looked at, in milliseconds. Each look wakes the process
- * up, so that the library's default would keep an idle one busy.
+ * Sampling interval of the event loop delay. Each sample wakes the process, so the library's
+ * default would keep an idle process busy.
  */
-const LOOP_DELAY_MS = 1_000
+const EVENT_LOOP_SAMPLE_MS = 1_000
 
-/** The metrics of one process, in a registry of their own. @public */
+/** The metrics of one process, in their own registry. @public */
 export class Metrics {
   readonly #registry = new Registry()
   readonly #sources = new Map<string, Source>()
-  readonly #numbers = new Map<string, Counter | Gauge>()
+  readonly #metrics = new Map<string, Counter | Gauge>()
   readonly #failures: Counter
 
   constructor({ instance, zone }: MetricsOptions) {
     this.#registry.setDefaultLabels({ instance, zone })
-    const eventLoopMonitoringPrecision = LOOP_DELAY_MS
+    const eventLoopMonitoringPrecision = EVENT_LOOP_SAMPLE_MS
     collectDefaultMetrics({ register: this.#registry, eventLoopMonitoringPrecision })
     this.#failures = new Counter({
       name: `${PREFIX}metrics_failed_reads_total`,
@@ -52,15 +52,15 @@
   }
 
   /**
-   * Exposes the numbers of a part as `cherryhitch_<part>_<key>`; they are read at each scrape,
-   * so keys may appear later. `metricName` tells how a key becomes a counter or a gauge.
-   * Registering a part again replaces it.
+   * Exposes the counters and gauges of a part as `cherryhitch_<part>_<key>`. They are read at each
+   * scrape, so keys may be added later. `metricKind` decides whether a key is a counter or a
+   * gauge, and `metricName` gives the exposed name. Registering a part again replaces it.
    */
   registerCounters(part: string, help: string, read: ReadCounters): void {
     this.#sources.set(part, { help, read })
   }
 
-  /** Makes a histogram `cherryhitch_<name>`; buckets are upper bounds in the unit of its values. */
+  /** Creates histogram `cherryhitch_<name>`; buckets are upper bounds in the unit of its values. */
   histogram(
     name: string,
     help: string,
@@ -86,37 +86,37 @@
     return { contentType: this.#registry.contentType, body: await this.#registry.metrics() }
   }
 
-  /** Forgets all metrics, and stops what the default ones observe. */
+  /** Removes all metrics and stops the observers of the default metrics. */
   close(): void {
     this.#registry.clear()
   }
 
-  /** A part that can't be read must not hide the others. */
+  /** A part that fails to read is counted and must not hide the others. */
   #readSource(part: string, { help, read }: Source): void {
     try {
-      for (const [key, value] of Object.entries(read())) this.#setNumber(part, key, help, value)
+      for (const [key, value] of Object.entries(read())) this.#setMetric(part, key, help, value)
     } catch {
       this.#failures.inc()
     }
   }
 
-  #setNumber(part: string, key: string, help: string, value: number): void {
+  #setMetric(part: string, key: string, help: string, value: number): void {
     const name = metricName(part, key)
-    const metric = this.#numbers.get(name) ?? this.#makeNumber(name, key, help)
+    const metric = this.#metrics.get(name) ?? this.#createMetric(name, key, help)
     if (metric instanceof Gauge) {
       metric.set(value)
       return
     }
-    // The part counts; this one only shows its count.
+    // The part itself counts; this counter mirrors its total.
     metric.reset()
     metric.inc(value)
   }
 
-  #makeNumber(name: string, key: string, help: string): Counter | Gauge {
+  #createMetric(name: string, key: string, help: string): Counter | Gauge {
     const options = { name, help: `${help} (${key})`, registers: [this.#registry] }
     const isGauge = metricKind(key) === MetricKind.Gauge
     const metric = isGauge ? new Gauge(options) : new Counter(options)
-    this.#numbers.set(name, metric)
+    this.#metrics.set(name, metric)
     return metric
   }
 }
--- a/packages/telemetry/src/lib/metrics/ProcessUseReader.ts
+++ b/packages/telemetry/src/lib/metrics/ProcessUseReader.ts
@@ -1,14 +1,14 @@
 import { performance, PerformanceObserver } from 'node:perf_hooks'
 
-/** What a process has used since its start. @public */
+/** Resource usage of a process since its start. @public */
 export interface ProcessUse {
-  /** Processor time of all its threads, in milliseconds. */
+  /** CPU time of all threads, in milliseconds. */
   readonly processorMs: number
-  /** Time spent collecting garbage, in milliseconds. */
+  /** Time spent in garbage collection, in milliseconds. */
   readonly garbageMs: number
-  /** Collections of garbage. */
+  /** Number of garbage collections. */
   readonly collections: number
-  /** Turns of the event loop: about as many as the process was woken up. */
+  /** Iterations of the event loop, about the number of times that the process was woken up. */
   readonly turns: number
   /** Heap in use, in megabytes. */
   readonly heapMb: number
@@ -17,7 +17,11 @@
 const US_PER_MS = 1_000
 const BYTES_PER_MB = 2 ** 20
 
-/** Reads what this process uses. It observes collections from its construction on. @public */
+/**
+ * Reads the resource usage of this process. Garbage collections are counted from construction on.
+ *
+ * @public
+ */
 export class ProcessUseReader {
   #garbageMs = 0
   #collections = 0
--- a/packages/telemetry/src/lib/metrics/metricName.ts
+++ b/packages/telemetry/src/lib/metrics/metricName.ts
@@ -1,4 +1,4 @@
-/** How a number of a part is exposed. @internal */
+/** The metric type under which a value is exposed. @internal */
 export enum MetricKind {
   Counter = 'counter',
   Gauge = 'gauge',
@@ -8,14 +8,17 @@
 const gaugeSuffix = /(?:Now|Size|Depth|Version|Term|Index|Ms)$/
 
 /**
- * Tells counters from gauges by their name: gauges begin with `current`, `is`, `has`, `max` or
+ * Distinguishes counters from gauges by key: gauges begin with `current`, `is`, `has`, `max` or
  * `min`, or end in `Now`, `Size`, `Depth`, `Version`, `Term`, `Index` or `Ms`.
  */
 export function metricKind(key: string): MetricKind {
   return gaugePrefix.test(key) || gaugeSuffix.test(key) ? MetricKind.Gauge : MetricKind.Counter
 }
 
-/** `cherryhitch_links_batches_sent_total` for the counter `batchesSent` of the part `links`. */
+/**
+ * Returns the exposed name, such as `cherryhitch_links_batches_sent_total` for the counter
+ * `batchesSent` of the part `links`.
+ */
 export function metricName(part: string, key: string): string {
   const name = `cherryhitch_${toSnakeCase(part)}_${toSnakeCase(key)}`
   return metricKind(key) === MetricKind.Counter ? `${name}_total` : name
--- a/packages/telemetry/src/lib/traces/OtlpSender.ts
+++ b/packages/telemetry/src/lib/traces/OtlpSender.ts
@@ -5,10 +5,10 @@
 import type { TracerOptions } from './TracerOptions'
 import { toReadableSpan } from './toReadableSpan'
 
-/** The result's own type lives in a package that is not ours to depend on. */
+/** `ExportResultCode.SUCCESS`; its package is not a direct dependency. */
 const EXPORT_SUCCEEDED = 0
 
-/** Limits of the sender; see `TracerOptions`. */
+/** The `TracerOptions` that the sender uses. */
 export type OtlpSenderOptions = Required<
   Pick<
     TracerOptions,
@@ -17,8 +17,8 @@
 >
 
 /**
- * Queue of spans before the collector. One request is under way at a time; while the collector
- * is slow or gone the queue fills, and then the newest spans are dropped and counted.
+ * Queues spans and exports them to the collector, one request at a time. While the collector is
+ * slow or unreachable the queue fills up; once it is full, new spans are dropped and counted.
  *
  * @internal
  */
@@ -54,12 +54,12 @@
     }
   }
 
-  /** Sends until the queue is empty. A batch that the exporter gave up on is dropped. */
+  /** Exports until the queue is empty. A batch whose export fails is dropped. */
   readonly sendAll: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     while (this.#queue.length > 0) {
       const batch = this.#queue.splice(0, this.options.maxBatchSpans)
-      const isDone = yield* this.#export(batch)
-      if (isDone) this.#exported += batch.length
+      const isExported = yield* this.#export(batch)
+      if (isExported) this.#exported += batch.length
       else {
         this.#failed += 1
         this.#dropped += batch.length
--- a/packages/telemetry/src/lib/traces/Tracer.ts
+++ b/packages/telemetry/src/lib/traces/Tracer.ts
@@ -4,7 +4,7 @@
 import { isSampled } from './isSampled'
 import type { OtlpSender } from './OtlpSender'
 
-/** Takes finished spans; made by `createTracer`. @public */
+/** Records finished spans; created by `createTracer`. @public */
 export class Tracer {
   #recorded = 0
   #notSampled = 0
@@ -17,7 +17,7 @@
     private readonly sender: OtlpSender | undefined,
   ) {}
 
-  /** Queues a span; never waits. Spans whose ids are malformed are counted and dropped. */
+  /** Queues a span without blocking. Spans with malformed ids are counted and dropped. */
   record(span: SpanRecord): void {
     const { traceId, spanId } = span
     if (!isSpanContextValid({ traceId, spanId, traceFlags: TraceFlags.SAMPLED })) {
@@ -33,7 +33,7 @@
     this.sender?.add(span)
   }
 
-  /** Numbers for `Metrics.registerCounters`. */
+  /** Counters for `Metrics.registerCounters`. */
   counters(): Readonly<Record<string, number>> {
     return {
       recorded: this.#recorded,
--- a/packages/telemetry/src/lib/traces/TracerOptions.ts
+++ b/packages/telemetry/src/lib/traces/TracerOptions.ts
@@ -1,21 +1,21 @@
-/** Where spans go, and how many; times in milliseconds. @public */
+/** Destinations, sampling and limits of spans; times in milliseconds. @public */
 export interface TracerOptions {
   readonly instance: string
   readonly zone?: string
-  /** Spans are appended to it as lines of JSON. */
+  /** File that spans are appended to as lines of JSON. */
   readonly file?: string
-  /** OTLP over HTTP, such as `http://10.0.0.5:4318/v1/traces`. */
+  /** Collector URL for OTLP over HTTP, such as `http://10.0.0.5:4318/v1/traces`. */
   readonly otlpUrl?: string
-  /** Share of traces that are kept, 0 to 1; all hops of a trace share its fate. */
+  /** Fraction of traces to keep, 0 to 1; the spans of a trace are kept or dropped together. */
   readonly sampleRatio?: number
-  /** Spans that wait for the collector; more are dropped. */
+  /** Most spans queued for the collector; further ones are dropped. */
   readonly maxQueuedSpans?: number
   readonly maxBatchSpans?: number
-  /** Pace at which waiting spans are sent. */
+  /** Interval at which queued spans are exported. */
   readonly flushMs?: number
-  /** How long one request to the collector may take, its retries included. */
+  /** Time limit of one request to the collector, including its retries. */
   readonly exportTimeoutMs?: number
-  /** How long closing may wait for the last spans to be sent. */
+  /** Time limit for exporting the remaining spans on close. */
   readonly closeLimitMs?: number
 }
 
--- a/packages/telemetry/src/lib/traces/createTracer.test.ts
+++ b/packages/telemetry/src/lib/traces/createTracer.test.ts
@@ -40,7 +40,7 @@
   readonly status: { readonly code: number }
 }
 
-/** Stands in for a collector; answers with the given status, or never. */
+/** Starts a fake collector that responds with the given status, or never if undefined. */
 async function startCollector(status: number | undefined) {
   const spans: OtlpSpan[] = []
   const server = http.createServer((req, res) => {
@@ -64,7 +64,7 @@
   return { spans, url: `http://127.0.0.1:${port}/v1/traces`, close }
 }
 
-/** Opens a tracer, uses it, closes it; returns its counters after closing. */
+/** Runs `use` with a new tracer and returns its counters after it was closed. */
 async function withTracer(
   options: Partial<TracerOptions>,
   use: (tracer: Tracer) => Promise<void> | void,
@@ -78,7 +78,7 @@
 }
 
 describe('createTracer', () => {
-  it('sends the spans of a trace to the collector with their parents', async () => {
+  it('exports the spans of a trace to the collector with their parents', async () => {
     const collector = await startCollector(200)
     const counters = await withTracer({ otlpUrl: collector.url }, (tracer) => {
       tracer.record(spanOf(1))
@@ -134,7 +134,7 @@
     })
   }
 
-  it('keeps or drops a trace as a whole, and about the share asked for', async () => {
+  it('samples whole traces at about the requested ratio', async () => {
     const file = path.join(folder, 'sampled.jsonl')
     const counters = await withTracer({ file, sampleRatio: 0.25 }, (tracer) => {
       for (let n = 0; n < 1000; n++) {
--- a/packages/telemetry/src/lib/traces/createTracer.ts
+++ b/packages/telemetry/src/lib/traces/createTracer.ts
@@ -9,8 +9,8 @@
 import { defaultTracerOptions } from './TracerOptions'
 
 /**
- * Starts the export of spans; what is left is sent and written when the scope closes. Without
- * file and collector it drops all spans. Fails when the file can't be opened.
+ * Starts the export of spans; remaining spans are flushed when the scope closes. Without a file
+ * or a collector all spans are dropped. Fails when the file can't be opened.
  *
  * @public
  */
@@ -36,8 +36,8 @@
 ): Effect.Effect<OtlpSender, never, Scope.Scope> {
   return Effect.gen(function* () {
     const sender = new OtlpSender(options)
-    const sendLast = Effect.andThen(sender.sendAll, sender.close)
-    yield* Effect.addFinalizer(() => Effect.timeoutOption(sendLast, closeLimitMs))
+    const flushAndClose = Effect.andThen(sender.sendAll, sender.close)
+    yield* Effect.addFinalizer(() => Effect.timeoutOption(flushAndClose, closeLimitMs))
     yield* Effect.forkScoped(Effect.repeat(sender.sendAll, Schedule.spaced(flushMs)))
     return sender
   })
--- a/packages/telemetry/src/lib/traces/isSampled.ts
+++ b/packages/telemetry/src/lib/traces/isSampled.ts
@@ -1,11 +1,11 @@
-const DIGITS = 8
-const RANGE = 16 ** DIGITS
+const HEX_DIGITS = 8
+const RANGE = 16 ** HEX_DIGITS
 
 /**
- * Decides by the trace id alone, so that all instances keep or drop a trace as a whole.
+ * Samples by the trace id alone, so that all instances make the same decision for a trace.
  *
- * @param ratio - share of traces that are kept, 0 to 1
+ * @param ratio - fraction of traces to keep, 0 to 1
  */
 export function isSampled(traceId: string, ratio: number): boolean {
-  return Number.parseInt(traceId.slice(-DIGITS), 16) < ratio * RANGE
+  return Number.parseInt(traceId.slice(-HEX_DIGITS), 16) < ratio * RANGE
 }
--- a/packages/telemetry/src/lib/traces/toReadableSpan.ts
+++ b/packages/telemetry/src/lib/traces/toReadableSpan.ts
@@ -7,7 +7,7 @@
 const MS_PER_SECOND = 1000
 const NS_PER_MS = 1_000_000
 
-/** A span as the exporter wants it; ids and times are those of the record. @internal */
+/** Converts a span record to the type that the exporter takes. @internal */
 export function toReadableSpan(span: SpanRecord, resource: Resource): ReadableSpan {
   const { traceId, parentSpanId } = span
   const parent = parentSpanId === '' ? {} : { parentSpanContext: contextOf(traceId, parentSpanId) }
@@ -36,7 +36,7 @@
   return { traceId, spanId, traceFlags: TraceFlags.SAMPLED }
 }
 
-/** Seconds and nanoseconds. */
+/** Converts milliseconds to a pair of seconds and nanoseconds. */
 function toHrTime(ms: number): HrTime {
   const seconds = Math.floor(ms / MS_PER_SECOND)
   return [seconds, Math.round((ms - seconds * MS_PER_SECOND) * NS_PER_MS)]
