--- a/packages/settings/src/lib/dispatching/dispatchSettings.test.ts
+++ b/packages/settings/src/lib/dispatching/dispatchSettings.test.ts
@@ -18,38 +18,38 @@
 const entry = { ...common, callers: '10.1.0.13:8161', readiness: '10.1.0.13:8167' }
 const dispatch = { ...common, control: '10.1.0.13:8166', dataFolder: '/data' }
 
-/** Problems of settings, as an operator reads them. */
+/** The problems of settings, formatted as operators see them. */
 function problemsOf(settings: object, role: DispatchRole): readonly string[] {
   const parsed = parseDispatchSettings(JSON.stringify(settings), 'one.jsonc', role)
   return parsed.ok ? [] : parsed.val.map(formatSettingsProblem)
 }
 
 describe('the settings of an entry or a dispatching instance', () => {
-  it('are taken when all that the role needs is there', () => {
+  it('are accepted when all settings that the role requires are present', () => {
     assert.deepEqual(problemsOf(entry, DispatchRole.Entry), [])
     assert.deepEqual(problemsOf(dispatch, DispatchRole.Dispatch), [])
     assert.deepEqual(problemsOf({ ...dispatch, toleratedLosses: 2 }, DispatchRole.Dispatch), [])
   })
 
-  it('are refused with losses to bear that are no whole number from 0 on', () => {
+  it('are refused when toleratedLosses is not a non-negative integer', () => {
     for (const toleratedLosses of [-1, 1.5]) {
       const problems = problemsOf({ ...dispatch, toleratedLosses }, DispatchRole.Dispatch)
       assert.match(problems.join(), /toleratedLosses/)
     }
   })
 
-  it('may hold more than is known', () => {
+  it('may contain unknown settings', () => {
     assert.deepEqual(problemsOf({ ...entry, later: 1 }, DispatchRole.Entry), [])
   })
 
-  it('are refused with each address that the role needs and that is missing', () => {
+  it('are refused with one problem for each missing setting that the role requires', () => {
     const problems = problemsOf(dispatch, DispatchRole.Entry)
     assert.equal(problems.length, 2)
     assert.match(problems.join(), /callers.*nothing.*readiness.*nothing/s)
     assert.match(problemsOf(entry, DispatchRole.Dispatch).join(), /control.*dataFolder/s)
   })
 
-  it('are refused with the place of a value of the wrong kind', () => {
+  it('are refused with the location of a value of the wrong type', () => {
     const [problem, ...more] = problemsOf({ ...entry, linkPort: 'x' }, DispatchRole.Entry)
     assert.deepEqual(more, [])
     assert.match(problem ?? '', /one\.jsonc.*linkPort/s)
--- a/packages/settings/src/lib/dispatching/dispatchSettings.ts
+++ b/packages/settings/src/lib/dispatching/dispatchSettings.ts
@@ -7,10 +7,10 @@
 import type { SettingPath, SettingsProblem } from '../problems/SettingsProblem'
 
 const Port = Schema.Number
-/** More instances with a voter than any deployment has. */
-const MOST_LOSSES = 100
+/** Exceeds the number of voter hosts of any deployment. */
+const MAX_TOLERATED_LOSSES = 100
 
-/** The settings of an instance that takes jobs, or that dispatches them. */
+/** The settings of an entry or a dispatching instance. */
 const schema = Schema.Struct({
   /** Name in logs. */
   name: Schema.String,
@@ -19,17 +19,17 @@
   zone: Schema.String,
   /** Port on which other instances reach this one; the same on all of them. */
   linkPort: Port,
-  /** Port of the metrics. */
+  /** Port that serves the metrics. */
   metricsPort: Port,
-  /** Hosts and ports of some instances that dispatch; some may be gone. */
+  /** Hosts and ports of some dispatching instances; not all of them need to be running. */
   seeds: Schema.Array(Schema.String),
   /** True when the whole system starts for the first time, with empty disks. */
   firstStart: Schema.Boolean,
-  /** Instances with a voter that may be lost at once; one where it is not given. */
+  /** Number of voter hosts that may be lost at the same time; 1 by default. */
   toleratedLosses: Schema.optional(
-    Schema.Int.check(Schema.isBetween({ minimum: 0, maximum: MOST_LOSSES })),
+    Schema.Int.check(Schema.isBetween({ minimum: 0, maximum: MAX_TOLERATED_LOSSES })),
   ),
-  /** Folder of the voter; none where the instance only takes jobs. */
+  /** Data folder of the voter; entries have none. */
   dataFolder: Schema.optional(Schema.String),
   /** Host and port for callers. */
   callers: Schema.optional(Schema.String),
@@ -37,20 +37,20 @@
   readiness: Schema.optional(Schema.String),
   /** Host and port for endpoints and operators. */
   control: Schema.optional(Schema.String),
-  /** How often endpoints announce themselves, in milliseconds. */
+  /** Interval at which endpoints announce themselves, in milliseconds. */
   heartbeatMs: Schema.Number,
   /** Longest lease that endpoints grant, in milliseconds. */
   maxLeaseMs: Schema.Number,
-  /** Mechanisms of dispatching that are left out, to measure what each is worth; none otherwise. */
+  /** Mechanisms of dispatching to disable, to measure the effect of each; none by default. */
   without: Schema.optional(Schema.Array(Schema.Enum(Mechanism))),
-  /** Time from the order to stop until the process is killed, in milliseconds. */
+  /** Time from the request to stop until the process is killed, in milliseconds. */
   stopGraceMs: Schema.Number,
 })
 
 /** Settings of an instance that takes jobs (an entry) or dispatches them. @public */
 export type DispatchSettings = typeof schema.Type
 
-/** What an instance does; it decides which settings have to be there. @public */
+/** The role of an instance, which decides which settings are required. @public */
 export enum DispatchRole {
   /** Takes jobs from callers. */
   Entry = 'entry',
@@ -79,7 +79,7 @@
   }
 }
 
-/** Reads the settings from a text; unknown settings are left alone. @public */
+/** Parses and checks the text of a settings file; unknown settings are ignored. @public */
 export function parseDispatchSettings(
   text: string,
   file: string,
@@ -94,13 +94,13 @@
     const missing = requiredByRole[role].filter((name) => settings[name] === undefined)
     if (missing.length === 0) return Ok(settings)
     const allowed = `a value, which the role "${role}" needs`
-    return Err(missing.map((name) => parsed.place({ path: [name], found: 'nothing', allowed })))
+    return Err(missing.map((name) => parsed.locate({ path: [name], found: 'nothing', allowed })))
   }
   const { issues } = formatIssue(decoded.failure.issue)
   return Err(
     issues.map(({ path = [], message }) => {
       const found = formatFound(valueAt(parsed.value, path as SettingPath))
-      return parsed.place({ path: path as SettingPath, found, allowed: message })
+      return parsed.locate({ path: path as SettingPath, found, allowed: message })
     }),
   )
 }
--- a/packages/settings/src/lib/page/renderSettingsPage.test.ts
+++ b/packages/settings/src/lib/page/renderSettingsPage.test.ts
@@ -5,6 +5,6 @@
 
 const page = new URL('../../../../../docs/settings.md', import.meta.url)
 
-it('the page on settings is the one that the schema gives', () => {
+it('the settings page is up to date with the schema', () => {
   assert.equal(fs.readFileSync(page, 'utf8'), renderSettingsPage())
 })
--- a/packages/settings/src/lib/page/renderSettingsPage.ts
+++ b/packages/settings/src/lib/page/renderSettingsPage.ts
@@ -43,8 +43,8 @@
   readonly node: SchemaNode
 }
 
-/** The group behind a setting: the setting itself, or what its list holds. */
-function innerGroup(path: string, node: SchemaNode): Group | undefined {
+/** Returns the group that a setting contains: the setting itself, or the items of its list. */
+function nestedGroup(path: string, node: SchemaNode): Group | undefined {
   if (node.properties !== undefined) return { path, node }
   if (node.items?.properties !== undefined) return { path: `${path}[]`, node: node.items }
   return undefined
@@ -69,11 +69,11 @@
   ])
   const title = path === '' ? '## All settings' : `## \`${path}\``
   const table = renderTable(['setting', 'allowed', 'default', 'meaning'], rows)
-  const inner = fields.flatMap(([name, field]) => innerGroup(prefix + name, field) ?? [])
-  return [`${title}\n\n${table}\n`, ...inner.map(renderGroup)].join('\n')
+  const nested = fields.flatMap(([name, field]) => nestedGroup(prefix + name, field) ?? [])
+  return [`${title}\n\n${table}\n`, ...nested.map(renderGroup)].join('\n')
 }
 
-/** The page `docs/settings.md`, in Markdown. @public */
+/** Renders `docs/settings.md` from the schema. @public */
 export function renderSettingsPage(): string {
   return `${introduction}\n${renderGroup({ path: '', node: rootNode })}`
 }
--- a/packages/settings/src/lib/page/writeSettingsPage.ts
+++ b/packages/settings/src/lib/page/writeSettingsPage.ts
@@ -1,4 +1,7 @@
-/** Writes `docs/settings.md` anew: `npx tsx packages/settings/src/lib/page/writeSettingsPage.ts`. */
+/**
+ * Regenerates `docs/settings.md`. Run it with
+ * `npx tsx packages/settings/src/lib/page/writeSettingsPage.ts`.
+ */
 import fs from 'node:fs'
 import { renderSettingsPage } from './renderSettingsPage'
 
--- a/packages/settings/src/lib/parse/SettingsText.ts
+++ b/packages/settings/src/lib/parse/SettingsText.ts
@@ -3,7 +3,7 @@
 import type { ContentProblem, SettingPath, SettingsProblem } from '../problems/SettingsProblem'
 import { formatPath } from '../problems/SettingsProblem'
 
-/** The text of a settings file, parsed, which knows on what line a setting stands. @internal */
+/** The parsed text of a settings file, which maps each setting to its line. @internal */
 export class SettingsText {
   private readonly errors: ParseError[] = []
   private readonly root: Node | undefined
@@ -15,12 +15,12 @@
     this.root = parseTree(text, this.errors, { allowTrailingComma: true })
   }
 
-  /** What the file says; of a setting that stands twice, the last one. */
+  /** The parsed value; of a duplicate setting, the last one. */
   get value(): unknown {
     return this.root === undefined ? undefined : (getNodeValue(this.root) as unknown)
   }
 
-  /** Where the text is not JSON with comments. */
+  /** Places where the text is not valid JSON with comments. */
   syntaxProblems(): readonly SettingsProblem[] {
     return this.errors.map(({ error, offset }) => ({
       file: this.file,
@@ -31,33 +31,33 @@
     }))
   }
 
-  /** Settings that stand twice in one group; the parser takes that without a word. */
+  /** Settings that occur twice in one group, which the parser accepts silently. */
   duplicateProblems(): readonly SettingsProblem[] {
-    return this.root === undefined ? [] : this.duplicatesBelow(this.root, [])
+    return this.root === undefined ? [] : this.findDuplicates(this.root, [])
   }
 
-  /** Says where a problem stands: at the setting, or at the nearest group around it. */
-  place({ path, found, allowed }: ContentProblem): SettingsProblem {
+  /** Adds the location to a problem: that of the setting, or of the nearest enclosing group. */
+  locate({ path, found, allowed }: ContentProblem): SettingsProblem {
     const setting = formatPath(path)
     return { file: this.file, line: this.lineOf(this.offsetOf(path)), setting, found, allowed }
   }
 
-  private duplicatesBelow(node: Node, path: SettingPath): SettingsProblem[] {
+  private findDuplicates(node: Node, path: SettingPath): SettingsProblem[] {
     const seen = new Set<string>()
     return (node.children ?? []).flatMap((child, index) => {
-      if (node.type !== 'object') return this.duplicatesBelow(child, [...path, index])
+      if (node.type !== 'object') return this.findDuplicates(child, [...path, index])
       const [key, value] = child.children ?? []
       const name = String(key?.value)
-      const below = value === undefined ? [] : this.duplicatesBelow(value, [...path, name])
+      const nested = value === undefined ? [] : this.findDuplicates(value, [...path, name])
       if (!seen.has(name)) {
         seen.add(name)
-        return below
+        return nested
       }
       const setting = formatPath([...path, name])
       const line = this.lineOf(child.offset)
       return [
         { file: this.file, line, setting, found: 'it a second time', allowed: 'one' },
-        ...below,
+        ...nested,
       ]
     })
   }
@@ -66,7 +66,7 @@
     for (let length = path.length; length >= 0; length--) {
       if (this.root === undefined) return 0
       const node = findNodeAtLocation(this.root, path.slice(0, length))
-      // Of a setting the line of its name; the value may start further down.
+      // Use the line of the setting's name, since its value may start on a later line.
       if (node !== undefined)
         return node.parent?.type === 'property' ? node.parent.offset : node.offset
     }
--- a/packages/settings/src/lib/parse/checkShape.ts
+++ b/packages/settings/src/lib/parse/checkShape.ts
@@ -23,7 +23,7 @@
   return { path, found: 'an unknown setting', allowed: `one of ${known.join(', ')}` }
 }
 
-/** Everything in which a file differs from the schema. @internal */
+/** Returns every difference between a settings file and the schema. @internal */
 export function checkShape(value: unknown): readonly ContentProblem[] {
   const decoded = decode(value, { errors: 'all', onExcessProperty: 'error' })
   if (Result.isSuccess(decoded)) return []
--- a/packages/settings/src/lib/parse/examples.test.ts
+++ b/packages/settings/src/lib/parse/examples.test.ts
@@ -20,7 +20,7 @@
   return files.map((file) => load(path.join(folder, file)))
 }
 
-/** One instance as itself and as the others should see it. */
+/** The entry that the other instances should list for this one in their `peers`. */
 function asPeer({ instance, zone, interfaces, voter }: Settings) {
   return { instance, zone, ...interfaces.instances, voter }
 }
@@ -30,9 +30,9 @@
   { name: 'sabarmati', zones: ['gujarat-1', 'gujarat-2', 'gujarat-3', 'gujarat-4'] },
 ]
 
-describe('the examples', () => {
+describe('the example settings', () => {
   for (const { name, zones } of sets) {
-    it(`of ${name} are seven instances that agree with one another`, () => {
+    it(`of ${name} describe seven instances that agree with one another`, () => {
       const all = loadAll(name)
       assert.equal(all.length, 7)
       const members = all.map(asPeer)
@@ -47,7 +47,7 @@
     })
   }
 
-  it('share no port and no data folder', () => {
+  it('use each port and data folder only once', () => {
     const all = sets.flatMap(({ name }) => loadAll(name))
     const ports = all.flatMap(({ interfaces }) => Object.values(interfaces).map(({ port }) => port))
     assert.equal(new Set(ports).size, all.length * 4)
--- a/packages/settings/src/lib/parse/parseSettings.test.ts
+++ b/packages/settings/src/lib/parse/parseSettings.test.ts
@@ -6,7 +6,7 @@
 import { loadSettings } from './loadSettings'
 import { parseSettings } from './parseSettings'
 
-/** A sound file, one setting a line. */
+/** A valid file, one setting per line. */
 const lines = [
   '{',
   '  // Comments are fine.',
@@ -27,9 +27,9 @@
   '  "timing": { "heartbeatMs": 400 },',
   '}',
 ]
-const sound = lines.join('\n')
+const valid = lines.join('\n')
 
-/** Line of the sound file, counted from 1, and what stands there instead. */
+/** A line of the valid file, counted from 1, and its replacement. */
 type Change = readonly [line: number, text: string]
 
 function change(...changes: readonly Change[]): string {
@@ -76,7 +76,7 @@
     ],
   },
   {
-    what: 'TLS between instances, which is not there',
+    what: 'TLS between instances, which is not supported',
     text: change([9, '"instances": { "host": "127.0.0.1", "port": 7004, "tls": {} }']),
     problems: [
       'a.jsonc:9: interfaces.instances.tls: found an unknown setting; allowed is one of host, port',
@@ -105,7 +105,7 @@
     ],
   },
   {
-    what: 'a collector that is no URL',
+    what: 'a collector that is not a URL',
     text: change([17, '"traces": { "otlpUrl": "collector:4318" },']),
     problems: [
       'a.jsonc:17: traces.otlpUrl: found "collector:4318"; allowed is an http or https URL',
@@ -117,12 +117,12 @@
     problems: ['a.jsonc:4: found a syntax error (ColonExpected); allowed is JSON with comments'],
   },
   {
-    what: 'a file that holds no group',
+    what: 'a file whose top level is not a group',
     text: '[]',
     problems: ['a.jsonc:1: found a list; allowed is a group of settings'],
   },
   {
-    what: 'a setting that stands twice',
+    what: 'a duplicate setting',
     text: change([17, '"voter": true,']),
     problems: ['a.jsonc:17: voter: found it a second time; allowed is one'],
   },
@@ -137,7 +137,7 @@
     ],
   },
   {
-    what: 'a peer that stands twice, with its address',
+    what: 'a duplicate peer with the same address',
     text: change([12, lines[12]?.replace(/$/, ',') ?? '']),
     problems: [
       'a.jsonc:13: peers[1].instance: found "north-3a" again; allowed is each other instance once',
@@ -145,21 +145,21 @@
     ],
   },
   {
-    what: 'a peer at the own address',
+    what: 'a peer with the address of this instance',
     text: change([12, '{ "instance": "b", "zone": "z", "host": "127.0.0.1", "port": 7004 },']),
     problems: [
       'a.jsonc:12: peers[0].port: found the address 127.0.0.1:7004 of another instance; allowed is an address of its own for each instance',
     ],
   },
   {
-    what: 'a peer at all addresses',
+    what: 'a peer with a wildcard address',
     text: change([12, '{ "instance": "b", "zone": "z", "host": "0.0.0.0", "port": 7014 },']),
     problems: [
       'a.jsonc:12: peers[0].host: found "0.0.0.0"; allowed is the address that leads to the instance',
     ],
   },
   {
-    what: 'a zone in another spelling',
+    what: 'a zone in a different spelling',
     text: change([
       12,
       '{ "instance": "b", "zone": "North-1", "host": "127.0.0.1", "port": 7014 },',
@@ -176,7 +176,7 @@
     ],
   },
   {
-    what: 'an open interface, with a wildcard that others are told',
+    what: 'an open interface and an announced wildcard address',
     text: change([7, '"endpoints": { "host": "0.0.0.0", "port": 7002 },']),
     problems: [
       'a.jsonc:7: interfaces.endpoints.host: found "0.0.0.0"; allowed is one address of this machine, since others are told it',
@@ -218,7 +218,7 @@
     ],
   },
   {
-    what: 'problems of every sort at once, in the order of the file',
+    what: 'all kinds of problems at once, in file order',
     text: change(
       [3, '"instance": "",'],
       [8, '"operators": { "host": "10.0.0.1", "port": 7003, "prot": 1 },'],
@@ -237,8 +237,8 @@
 ]
 
 describe('parseSettings', () => {
-  it('fills in defaults and starts relative paths from the folder of the file', () => {
-    const settings = parseSettings(sound, '/etc/cherryhitch/a.jsonc').unwrap()
+  it('fills in defaults and resolves relative paths against the folder of the file', () => {
+    const settings = parseSettings(valid, '/etc/cherryhitch/a.jsonc').unwrap()
     assert.equal(settings.dataFolder, path.resolve('/etc/cherryhitch/data'))
     assert.equal(settings.timing.heartbeatMs, 400)
     assert.equal(settings.timing.leaseMs, 3000)
@@ -246,7 +246,7 @@
     assert.equal(settings.peers[0]?.voter, false)
   })
 
-  it('takes any address once there are tokens', () => {
+  it('accepts any address when there are tokens', () => {
     const text = change(
       [6, '"callers": { "host": "0.0.0.0", "port": 7001 },'],
       [17, tokens('{ "caller": "c", "file": "c" }')],
@@ -261,11 +261,11 @@
     })
   }
 
-  it('answers any text, damaged ones too, and never throws', () => {
+  it('never throws and reports valid line numbers for any text', () => {
     const damaged = fc
-      .tuple(fc.nat(sound.length), fc.nat(30), fc.json())
+      .tuple(fc.nat(valid.length), fc.nat(30), fc.json())
       .map(([at, cut, inserted]) => {
-        return sound.slice(0, at) + inserted + sound.slice(at + cut)
+        return valid.slice(0, at) + inserted + valid.slice(at + cut)
       })
     const texts = fc.oneof(damaged, fc.json(), fc.string())
     const answers = fc.property(texts, (text) => {
@@ -276,7 +276,7 @@
     fc.assert(answers, { seed: 20261202, numRuns: 1000 })
   })
 
-  it('says so when there is no file', () => {
+  it('reports a missing file', () => {
     const result = loadSettings('/nowhere/a.jsonc')
     assert.ok(result.err, 'there is no such file')
     const [problem] = result.val
--- a/packages/settings/src/lib/parse/parseSettings.ts
+++ b/packages/settings/src/lib/parse/parseSettings.ts
@@ -10,10 +10,10 @@
 import { SettingsText } from './SettingsText'
 
 /**
- * Reads settings from a text.
+ * Parses and checks the text of a settings file.
  *
- * @param file - path that the text came from; relative paths in it start from its folder
- * @returns the settings with defaults filled in, or all problems in the order of the file
+ * @param file - path of the file; relative paths in the text are resolved against its folder
+ * @returns the settings with defaults filled in, or all problems in file order
  * @public
  */
 export function parseSettings(
@@ -26,8 +26,8 @@
   const value = parsed.value
   const shape = checkShape(value)
   const rules = checkRules(value as SettingsFile, shape)
-  const placed = [...shape, ...rules].map((problem) => parsed.place(problem))
-  const problems = [...parsed.duplicateProblems(), ...placed].sort((a, b) => a.line - b.line)
+  const located = [...shape, ...rules].map((problem) => parsed.locate(problem))
+  const problems = [...parsed.duplicateProblems(), ...located].sort((a, b) => a.line - b.line)
   if (problems.length > 0) return Err(problems)
   return Ok(completeSettings(value as SettingsFile, path.dirname(path.resolve(file))))
 }
--- a/packages/settings/src/lib/problems/SettingsProblem.ts
+++ b/packages/settings/src/lib/problems/SettingsProblem.ts
@@ -1,27 +1,27 @@
-/** One thing that is wrong with a settings file. @public */
+/** An error in a settings file. @public */
 export interface SettingsProblem {
   readonly file: string
   /** Counted from 1; 0 when the file could not be read. */
   readonly line: number
   /** Path of the setting, such as `peers[1].port`; empty for the whole file. */
   readonly setting: string
-  /** What stands there, as a clause. */
+  /** The value found, as a phrase for the message. */
   readonly found: string
-  /** What may stand there, as a clause. */
+  /** The allowed values, as a phrase for the message. */
   readonly allowed: string
 }
 
-/** A problem within the content of a file, before it is known where it stands. @internal */
+/** A problem in the content of a file, without its location. @internal */
 export interface ContentProblem {
   readonly path: SettingPath
   readonly found: string
   readonly allowed: string
 }
 
-/** Keys and indexes from the top of the file. @internal */
+/** Keys and indexes from the root of the file. @internal */
 export type SettingPath = readonly (string | number)[]
 
-/** Writes a path as operators know it: `peers[1].port`. @internal */
+/** Formats a path as operators see it, such as `peers[1].port`. @internal */
 export function formatPath(path: SettingPath): string {
   return path.reduce<string>((text, part) => {
     if (typeof part === 'number') return `${text}[${part}]`
@@ -31,7 +31,7 @@
 
 const MAX_FOUND_LENGTH = 60
 
-/** Writes a value of the file into a message, shortened. @internal */
+/** Formats a value of the file for a message, truncated if long. @internal */
 export function formatFound(value: unknown): string {
   if (value === undefined) return 'nothing'
   if (Array.isArray(value)) return 'a list'
@@ -40,10 +40,10 @@
   return text.length > MAX_FOUND_LENGTH ? `${text.slice(0, MAX_FOUND_LENGTH)}…` : text
 }
 
-/** One line that an operator can act on. @public */
+/** Formats a problem as one line for operators. @public */
 export function formatSettingsProblem(problem: SettingsProblem): string {
   const { file, line, setting, found, allowed } = problem
-  const place = line > 0 ? `${file}:${line}` : file
+  const location = line > 0 ? `${file}:${line}` : file
   const subject = setting === '' ? '' : `${setting}: `
-  return `${place}: ${subject}found ${found}; allowed is ${allowed}`
+  return `${location}: ${subject}found ${found}; allowed is ${allowed}`
 }
--- a/packages/settings/src/lib/rules/accessRules.ts
+++ b/packages/settings/src/lib/rules/accessRules.ts
@@ -5,7 +5,7 @@
 import { findRepeats } from './findRepeats'
 import type { SettingsRule } from './SettingsRule'
 
-/** Without tokens anybody who reaches an interface may use it. */
+/** Without tokens, an interface is open to anyone who can connect to it. */
 function checkOpenInterfaces({ interfaces, tokens }: SettingsFile): readonly ContentProblem[] {
   if (tokens !== undefined) return []
   return Object.entries(interfaces)
--- a/packages/settings/src/lib/rules/addressRules.ts
+++ b/packages/settings/src/lib/rules/addressRules.ts
@@ -5,7 +5,7 @@
 import { findRepeats } from './findRepeats'
 import type { SettingsRule } from './SettingsRule'
 
-/** Others are told these addresses, so they have to lead here from elsewhere. */
+/** Interfaces whose addresses are announced, which must be reachable from other machines. */
 const announced = ['endpoints', 'instances'] as const
 
 function checkWildcards({ interfaces }: SettingsFile): readonly ContentProblem[] {
@@ -18,7 +18,7 @@
     }))
 }
 
-function checkOwnPorts({ interfaces }: SettingsFile): readonly ContentProblem[] {
+function checkDistinctAddresses({ interfaces }: SettingsFile): readonly ContentProblem[] {
   const entries = Object.entries(interfaces)
   return findRepeats(entries, ([, address]) => formatAddress(address)).map(({ index, key }) => ({
     path: ['interfaces', entries[index]?.[0] ?? '', 'port'],
@@ -29,5 +29,5 @@
 
 export const addressRules: readonly SettingsRule[] = [
   { reads: ['interfaces'], check: checkWildcards },
-  { reads: ['interfaces'], check: checkOwnPorts },
+  { reads: ['interfaces'], check: checkDistinctAddresses },
 ]
--- a/packages/settings/src/lib/rules/addresses.ts
+++ b/packages/settings/src/lib/rules/addresses.ts
@@ -1,6 +1,6 @@
 import net from 'node:net'
 
-/** One spelling for each IP address. */
+/** Normalizes the spelling of an IP address. */
 function canonicalHost(host: string): string {
   return new net.SocketAddress({ address: host, family: net.isIPv6(host) ? 'ipv6' : 'ipv4' })
     .address
--- a/packages/settings/src/lib/rules/checkRules.ts
+++ b/packages/settings/src/lib/rules/checkRules.ts
@@ -13,9 +13,9 @@
   settings: SettingsFile,
   shapeProblems: readonly ContentProblem[],
 ): readonly ContentProblem[] {
-  const misshapen = new Set(shapeProblems.map(({ path }) => path[0]))
-  // The file is no group at all.
-  if (misshapen.has(undefined)) return []
-  const applicable = rules.filter(({ reads }) => !reads.some((name) => misshapen.has(name)))
+  const malformed = new Set(shapeProblems.map(({ path }) => path[0]))
+  // The top level of the file is not a group.
+  if (malformed.has(undefined)) return []
+  const applicable = rules.filter(({ reads }) => !reads.some((name) => malformed.has(name)))
   return applicable.flatMap((rule) => rule.check(settings))
 }
--- a/packages/settings/src/lib/rules/findRepeats.ts
+++ b/packages/settings/src/lib/rules/findRepeats.ts
@@ -1,4 +1,4 @@
-/** Items whose key an earlier item has already, with their index. @internal */
+/** Returns the index and key of each item whose key occurred in an earlier item. @internal */
 export function findRepeats<Item>(
   items: readonly Item[],
   keyOf: (item: Item) => string,
--- a/packages/settings/src/lib/rules/peerRules.ts
+++ b/packages/settings/src/lib/rules/peerRules.ts
@@ -34,7 +34,7 @@
   })
 }
 
-/** Zones are compared letter by letter, so another case would make another zone. */
+/** Zone names are case-sensitive, so a spelling in another case would be a different zone. */
 function checkZones({ zone, peers }: SettingsFile): readonly ContentProblem[] {
   const spellings = new Map([[zone.toLowerCase(), zone]])
   return peers.flatMap((peer, index) => {
--- a/packages/settings/src/lib/rules/timingRules.ts
+++ b/packages/settings/src/lib/rules/timingRules.ts
@@ -10,7 +10,7 @@
   readonly times: number
 }
 
-/** Two messages in a row may get lost before anything is held dead. */
+/** A factor of 3 tolerates two consecutive lost messages before a timeout. */
 const relations: readonly Relation[] = [
   { longer: 'endpointTimeoutMs', shorter: 'heartbeatMs', times: 3 },
   { longer: 'leaseMs', shorter: 'heartbeatMs', times: 3 },
@@ -22,7 +22,7 @@
   return relations
     .filter(({ longer, shorter, times }) => merged[longer] < times * merged[shorter])
     .map(({ longer, shorter, times }) => ({
-      // The one that the file sets is the one to change.
+      // Report the setting that the file sets, since it is the one to change.
       path: ['timing', timing[longer] === undefined ? shorter : longer],
       found: `${longer} ${merged[longer]} with ${shorter} ${merged[shorter]}`,
       allowed: `${longer} of at least ${times} times ${shorter}`,
--- a/packages/settings/src/lib/schema/SchemaNode.ts
+++ b/packages/settings/src/lib/schema/SchemaNode.ts
@@ -2,10 +2,10 @@
 import type { SettingPath } from '../problems/SettingsProblem'
 import { settingsSchema } from './settingsSchema'
 
-/** The part of JSON Schema that the settings use. @internal */
+/** The subset of JSON Schema that the settings use. @internal */
 export interface SchemaNode {
   readonly type?: string
-  /** What is allowed, in words, where type and bounds don't say it all. */
+  /** The allowed values in words, where type and bounds don't describe them fully. */
   readonly title?: string
   readonly description?: string
   readonly default?: unknown
@@ -18,7 +18,7 @@
   readonly allOf?: readonly SchemaNode[]
 }
 
-/** Merges the members of `allOf`, where the bounds of a schema may stand. @internal */
+/** Merges the members of `allOf`, which may hold the bounds of a schema. @internal */
 export function flatten(node: SchemaNode): SchemaNode {
   const parts = node.allOf ?? []
   return parts.reduceRight<SchemaNode>((merged, part) => ({ ...part, ...merged }), node)
@@ -40,7 +40,7 @@
   return JSON.stringify(value)
 }
 
-/** Says in words what a setting may be. @internal */
+/** Describes the allowed values of a setting in words. @internal */
 export function describeAllowed(node: SchemaNode): string {
   if (node.title !== undefined) return node.title
   if (node.enum !== undefined) return `one of ${node.enum.map(quote).join(', ')}`
--- a/packages/settings/src/lib/schema/Settings.ts
+++ b/packages/settings/src/lib/schema/Settings.ts
@@ -50,7 +50,7 @@
   readonly peers: readonly PeerSettings[]
   readonly voter: boolean
   readonly dataFolder?: string
-  /** Without it every interface is open, and on a loopback address. */
+  /** Without tokens, all interfaces are unauthenticated and must be on loopback addresses. */
   readonly tokens?: TokenSettings
   readonly limits: LimitSettings
   readonly timing: TimingSettings
--- a/packages/settings/src/lib/schema/completeSettings.ts
+++ b/packages/settings/src/lib/schema/completeSettings.ts
@@ -7,7 +7,7 @@
 
 const DEFAULT_WEIGHT = 1
 
-/** Fills in defaults and makes paths absolute, from the folder of the settings file. @internal */
+/** Fills in defaults and resolves paths against the folder of the settings file. @internal */
 export function completeSettings(file: SettingsFile, folder: string): Settings {
   const resolve = (relative: string) => path.resolve(folder, relative)
   const { interfaces, dataFolder, tokens, log = {}, traces = {} } = file
--- a/packages/settings/src/lib/schema/limits.ts
+++ b/packages/settings/src/lib/schema/limits.ts
@@ -30,12 +30,12 @@
   },
 }
 
-/** Bounds on what an instance takes in and keeps. @public */
+/** Limits on the requests that an instance accepts. @public */
 export type LimitSettings = Readonly<Record<keyof typeof limitSettings, number>>
 
 /**
- * As in the HTTP servers; tasks per job cover the jobs that are known today
- * with room to spare.
+ * The same values as in the HTTP servers. `tasksPerJob` exceeds the size of the largest known jobs
+ * by a margin.
  *
  * @public
  */
--- a/packages/settings/src/lib/schema/numbers.ts
+++ b/packages/settings/src/lib/schema/numbers.ts
@@ -1,6 +1,6 @@
 import { Schema } from 'effect'
 
-/** A whole number within bounds that has a default. */
+/** An integer setting with bounds and a default. */
 export interface NumberSetting {
   readonly minimum: number
   readonly maximum: number
@@ -12,7 +12,7 @@
   return Schema.Int.check(Schema.isBetween({ minimum, maximum })).annotate({ description })
 }
 
-/** A group whose settings are all optional whole numbers. */
+/** Returns the schema of a group whose settings are all optional integers. */
 export function numberGroup<Key extends string>(
   settings: Readonly<Record<Key, NumberSetting>>,
   description: string,
@@ -28,7 +28,7 @@
   })
 }
 
-/** The defaults of such a group. */
+/** Returns the defaults of a group of number settings. */
 export function defaultsOf<Key extends string>(
   settings: Readonly<Record<Key, NumberSetting>>,
 ): Readonly<Record<Key, number>> {
--- a/packages/settings/src/lib/schema/settingsSchema.ts
+++ b/packages/settings/src/lib/schema/settingsSchema.ts
@@ -7,7 +7,7 @@
 const MAX_PORT = 65_535
 const MAX_WEIGHT = 1000
 
-/** How much is logged, as in bunyan. @public */
+/** Bunyan's log levels. @public */
 export enum LogLevel {
   Trace = 'trace',
   Debug = 'debug',
@@ -96,7 +96,7 @@
   otlpUrl: Schema.optionalKey(urlText('Collector that spans are sent to, OTLP over HTTP.')),
 }).annotate({ description: 'Where spans go; without it none are recorded.' })
 
-/** The shape of a settings file; rules between settings stand in `lib/rules`. @internal */
+/** The schema of a settings file; constraints between settings are in `lib/rules`. @internal */
 export const settingsSchema = Schema.Struct({
   instance: nameText('Name of this instance; no other one has it.'),
   zone: nameText('Availability zone of this instance.'),
--- a/packages/settings/src/lib/schema/texts.ts
+++ b/packages/settings/src/lib/schema/texts.ts
@@ -2,10 +2,11 @@
 import { MAX_NAME_LENGTH, isValidName } from '@cherryhitch/model'
 import { Schema } from 'effect'
 
-/** A text with a rule of its own; `allowed` says the rule in words, for messages and the page. */
+/** A string with a custom check; `allowed` describes it in messages and on the settings page. */
 function text(allowed: string, isAllowed: (value: string) => boolean, description: string) {
   const rule = Schema.makeFilter((value: string) => isAllowed(value))
-  // Annotations first: those of a rule without a JSON Schema of its own would not reach the page.
+  // Annotate before `check`: annotations of a check without its own JSON Schema don't reach the
+  // settings page.
   return Schema.String.annotate({ title: allowed, description }).check(rule)
 }
 
@@ -19,7 +20,7 @@
   return text('an IP address', (value) => net.isIP(value) !== 0, description)
 }
 
-/** Path of a file or folder; relative ones start from the folder of the settings file. */
+/** Path of a file or folder, relative to the folder of the settings file or absolute. */
 export function pathText(description: string) {
   const isPath = (value: string) => value.trim() !== '' && !value.includes('\0')
   return text('a path, absolute or from the folder of this file', isPath, description)
--- a/packages/settings/src/lib/schema/timing.ts
+++ b/packages/settings/src/lib/schema/timing.ts
@@ -53,12 +53,12 @@
   },
 }
 
-/** Times of an instance, in milliseconds. @public */
+/** Timeouts and intervals of an instance, in milliseconds. @public */
 export type TimingSettings = Readonly<Record<keyof typeof timingSettings, number>>
 
 /**
- * As in the parts that use them. The instance timeout leaves time for a silent connection to be
- * replaced before its peer counts as dead.
+ * The same values as in the components that use them. The instance timeout leaves time to
+ * replace a silent connection before its peer is considered dead.
  *
  * @public
  */
--- a/packages/settings/src/lib/tokens/loadTokens.test.ts
+++ b/packages/settings/src/lib/tokens/loadTokens.test.ts
@@ -28,7 +28,7 @@
       instances: write('instances', 'token-of-the-instances'),
     })
 
-  it('reads each file, without the line end', () => {
+  it('reads each file without its line ending', () => {
     const tokens = load(write('c', 'token-of-the-callers\n'), write('o', 'token-of-operators'))
     assert.deepEqual(tokens.unwrap().callers, [
       { caller: 'desk', token: 'token-of-the-callers', weight: 2 },
@@ -40,10 +40,14 @@
     { what: 'an empty file', caller: '', found: /found 0 characters/ },
     { what: 'a short token', caller: 'secret', found: /found 6 characters/ },
     { what: 'two lines', caller: `${good}\n${good}`, found: /found spaces or characters/ },
-    { what: 'the token of another', caller: good, found: /found the token of tokens.callers\[0\]/ },
+    {
+      what: 'the token of another user',
+      caller: good,
+      found: /found the token of tokens.callers\[0\]/,
+    },
   ]
   for (const { what, caller, found } of cases) {
-    it(`refuses ${what}, and shows no token`, () => {
+    it(`refuses ${what} without showing a token`, () => {
       const result = load(write('c', caller), write('o', good))
       assert.ok(result.err, 'it should be refused')
       const lines = result.val.map(formatSettingsProblem)
--- a/packages/settings/src/lib/tokens/loadTokens.ts
+++ b/packages/settings/src/lib/tokens/loadTokens.ts
@@ -4,12 +4,12 @@
 import type { TokenSettings } from '../schema/Settings'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** Shorter ones can be guessed. */
+/** Shorter tokens can be guessed. */
 const MIN_TOKEN_LENGTH = 16
-/** What a header of HTTP can carry in one word. */
+/** Printable ASCII without spaces, which an HTTP header can carry as one word. */
 const tokenPattern = /^[\x21-\x7e]+$/
 
-/** The tokens themselves. @public */
+/** The contents of the token files. @public */
 export interface Tokens {
   readonly callers: readonly {
     readonly caller: string
@@ -21,23 +21,23 @@
   readonly instances: string
 }
 
-/** Reads token files and notes what is wrong with them; no message shows a token. */
+/** Reads token files and collects their problems; no message contains a token. */
 class TokenReader {
   readonly problems: SettingsProblem[] = []
-  private readonly settingOf = new Map<string, string>()
+  private readonly settingByToken = new Map<string, string>()
 
   read(file: string, setting: string): string {
     const token = this.readFile(file, setting)?.trim()
     if (token === undefined) return ''
-    const note = (found: string, allowed: string) => {
+    const report = (found: string, allowed: string) => {
       this.problems.push({ file, line: 0, setting, found, allowed })
     }
     const allowed = `one token of ${MIN_TOKEN_LENGTH} or more printable characters without spaces`
-    if (token.length < MIN_TOKEN_LENGTH) note(`${token.length} characters`, allowed)
-    else if (!tokenPattern.test(token)) note('spaces or characters that are not ASCII', allowed)
-    const other = this.settingOf.get(token)
-    if (other !== undefined) note(`the token of ${other}`, 'a token of its own')
-    else if (token !== '') this.settingOf.set(token, setting)
+    if (token.length < MIN_TOKEN_LENGTH) report(`${token.length} characters`, allowed)
+    else if (!tokenPattern.test(token)) report('spaces or characters that are not ASCII', allowed)
+    const other = this.settingByToken.get(token)
+    if (other !== undefined) report(`the token of ${other}`, 'a token of its own')
+    else if (token !== '') this.settingByToken.set(token, setting)
     return token
   }
 
@@ -53,10 +53,10 @@
 }
 
 /**
- * Reads the files that the settings name.
+ * Reads the token files that the settings name.
  *
- * @returns the tokens, or all problems; two users with the same token are one, since the audit
- *   record could not tell them apart
+ * @returns the tokens, or all problems; a token used twice is a problem, since the audit record
+ *   could not tell its users apart
  * @public
  */
 export function loadTokens(settings: TokenSettings): Result<Tokens, readonly SettingsProblem[]> {
--- a/packages/telemetry/src/lib/errors/TelemetryError.ts
+++ b/packages/telemetry/src/lib/errors/TelemetryError.ts
@@ -5,7 +5,7 @@
 }
 
 /**
- * Thrown when logs, metrics or traces cannot be started. Once they run, losses are only counted.
+ * A failure to start logs, metrics or traces. Once they run, losses are only counted.
  *
  * @public
  */
--- a/packages/telemetry/src/lib/files/LineWriter.ts
+++ b/packages/telemetry/src/lib/files/LineWriter.ts
@@ -4,8 +4,8 @@
 export const MAX_BUFFERED_BYTES = 4 * 1024 * 1024
 /**
  * Lines that arrive within this delay are written as one batch. A leader logs about 500 lines per
- * second, and each write is a system call. A process that is killed loses the log lines of up to
- * this long.
+ * second, and each write is a system call. A process that is killed loses up to this
+ * much of its log.
  */
 const BATCH_DELAY_MS = 20
 /** A batch of more characters than this is written immediately. */
