--- a/packages/http-api/src/lib/callers/answerReply.test.ts
+++ b/packages/http-api/src/lib/callers/answerReply.test.ts
@@ -12,7 +12,7 @@
   return { reply, problem: JSON.parse(reply.body) as JobProblem }
 }
 
-describe('the reply to a job', () => {
+describe('answerReply', () => {
   const statuses: readonly (readonly [Reason, number, boolean])[] = [
     [Reason.NEVER_FITS, 422, false],
     [Reason.TOO_LATE, 503, true],
@@ -36,7 +36,7 @@
   ]
   for (const [reason, status, advised] of statuses) {
     const word = Reason[reason].toLowerCase()
-    it(`gives ${word} the status ${status}${advised ? ' with Retry-After' : ''}`, () => {
+    it(`maps ${word} to status ${status}${advised ? ' with Retry-After' : ''}`, () => {
       const { reply, problem } = problemFor(reason, Outcome.NOT_RUN)
       assert.equal(reply.status, status)
       assert.equal(problem.reason, word)
@@ -45,12 +45,12 @@
     })
   }
 
-  it('knows a status for every reason that there is', () => {
+  it('covers every reason', () => {
     const reasons = Object.values(Reason).filter((value) => typeof value === 'number')
     assert.equal(statuses.length, reasons.length - 1)
   })
 
-  it('gives the wait exactly in the document and in whole seconds in the header', () => {
+  it('gives the retry delay exactly in the document and rounded up to seconds in the header', () => {
     const { reply, problem } = problemFor(Reason.QUEUE_FULL, Outcome.NOT_RUN, 350)
     assert.equal(problem.retryAfter, 0.35)
     assert.equal(reply.headers?.['Retry-After'], '1')
@@ -58,34 +58,34 @@
     assert.equal(longer.reply.headers?.['Retry-After'], '3')
   })
 
-  it('does not invite to come back when the job may have run', () => {
+  it('sends no Retry-After when the job may have run', () => {
     const { reply, problem } = problemFor(Reason.NO_QUORUM, Outcome.UNKNOWN, 500)
     assert.equal(reply.headers?.['Retry-After'], undefined)
     assert.equal(problem.retryAfter, undefined)
     assert.equal(problem.ran, 'unknown')
   })
 
-  it('passes outputs on to the last digit', () => {
+  it('passes outputs through without changing a digit', () => {
     const outputs = ['{"sum":12345678901234567890.10}', 'null', '"é"']
     assert.ok(answerReply(succeeded(outputs)).body.endsWith(`"outputs":[${outputs.join(',')}]}`))
   })
 
   for (const output of ['{}', '[]', '""', '-1.5e3', '0', 'true', 'false', 'null']) {
-    it(`passes ${output} on`, () => {
+    it(`accepts the output ${output}`, () => {
       assert.equal(answerReply(succeeded([output])).status, 200)
     })
   }
 
-  const unfit: readonly (readonly [string, JobAnswer])[] = [
+  const invalid: readonly (readonly [string, JobAnswer])[] = [
     ['an output is missing', { ...succeeded(['1', '2']), tasks: 3 }],
-    ['there is one too many', { ...succeeded(['1', '2']), tasks: 1 }],
-    ['there are none', succeeded([])],
+    ['there is one output too many', { ...succeeded(['1', '2']), tasks: 1 }],
+    ['there are no outputs', succeeded([])],
     ['an output is empty', succeeded(['1', ''])],
     ['an output is HTML', succeeded(['<html></html>'])],
-    ['an output is cut off', succeeded(['{"a":'])],
+    ['an output is truncated', succeeded(['{"a":'])],
     ['an output is plain text', succeeded(['no such claim'])],
   ]
-  for (const [name, answer] of unfit) {
+  for (const [name, answer] of invalid) {
     it(`answers 500 rather than 200 when ${name}`, () => {
       const reply = answerReply(answer)
       assert.equal(reply.status, 500)
--- a/packages/http-api/src/lib/callers/answerReply.ts
+++ b/packages/http-api/src/lib/callers/answerReply.ts
@@ -11,16 +11,16 @@
   retryAfterHeader,
   retryAfterSeconds,
 } from '../problems/problemReply'
-import { reasonTable, reasonWord } from '../problems/reasonTable'
+import { reasonTable, reasonName } from '../problems/reasonTable'
 
 const OK = 200
 const ACCEPTED = 202
-/** Statuses with which coming back later can help. */
+/** Statuses for which a later retry can succeed. */
 const RETRYABLE: ReadonlySet<number> = new Set([429, 503])
-/** Advice when the refusing part gave none. */
+/** `Retry-After` of a refusal that carries no delay of its own. */
 const DEFAULT_RETRY_AFTER_MS = 1000
 
-/** Problem document of a job. @internal */
+/** Problem document (RFC 9457) of a job that did not succeed. @internal */
 export interface JobProblem extends Problem {
   readonly jobId: string
   readonly state: string
@@ -29,19 +29,19 @@
   readonly settingsCurrent: boolean
 }
 
-/** The word of a state in answers, such as `succeeded`. @internal */
-export function stateWord(state: JobState): string {
+/** Name of a job state in response bodies, such as `succeeded`. @internal */
+export function stateName(state: JobState): string {
   return JobState[state].toLowerCase()
 }
 
-/** First and last characters of JSON texts. */
+/** Characters that a JSON text can start and end with. */
 const openings = '{["-0123456789tfn'
 const closings = '}]"0123456789el'
 
 /**
- * A cheap look at both ends of an output. That outputs are JSON is the owners' business: they
- * write them with `JSON.stringify`. Parsing them here again would cost a tenth of the request
- * (`docs/design/http-interfaces.md`); this finds empty texts and other formats.
+ * Checks only the first and last character of an output, which detects empty texts and other
+ * formats. Owners produce outputs with `JSON.stringify`; parsing them here again would cost a
+ * tenth of the request's processing (`docs/design/http-interfaces.md`).
  */
 function looksLikeJson(output: string): boolean {
   const first = output.at(0)
@@ -51,26 +51,26 @@
 }
 
 /**
- * Whether the answer is one that may be given: outputs for every task of a job that
- * succeeded. Anything else would be a partial answer.
+ * Whether a succeeded job has one plausible output for each of its tasks. Without this check
+ * a caller could receive a partial result with status 200.
  */
-function isWhole(answer: JobAnswer): boolean {
+function hasAllOutputs(answer: JobAnswer): boolean {
   if (answer.outputs.length === 0 || answer.outputs.length !== answer.tasks) return false
   return answer.outputs.every(looksLikeJson)
 }
 
-/** The reply that tells how a job ended, or that it has not. @internal */
+/** Builds the response for a job: its outputs, its failure, or 202 while it runs. @internal */
 export function answerReply(answer: JobAnswer): Reply {
   if (answer.state === JobState.RUNNING) return runningReply(answer)
   if (answer.state !== JobState.SUCCEEDED) return failureReply(answer)
-  if (!isWhole(answer)) return defectReply()
+  if (!hasAllOutputs(answer)) return defectReply()
   return successReply(answer)
 }
 
-/** The outputs are JSON text already; they are joined into the body as they came. */
+/** Outputs are already JSON text, so they are concatenated into the body unparsed. */
 function successReply(answer: JobAnswer): Reply {
   const { jobId, settingsVersion, settingsCurrent } = answer
-  const state = stateWord(answer.state)
+  const state = stateName(answer.state)
   const head = JSON.stringify({ jobId, state, settingsVersion, settingsCurrent })
   const body = `${head.slice(0, -1)},"outputs":[${answer.outputs.join(',')}]}`
   return { status: OK, contentType: JSON_TYPE, body }
@@ -78,39 +78,39 @@
 
 function runningReply(answer: JobAnswer): Reply {
   const { jobId, tasks, tasksEnded } = answer
-  const body = { jobId, state: stateWord(answer.state), tasks, tasksEnded }
+  const body = { jobId, state: stateName(answer.state), tasks, tasksEnded }
   return jsonReply(ACCEPTED, body, { Location: `/v1/jobs/${jobId}` })
 }
 
 function failureReply(answer: JobAnswer): Reply {
   const { status } = reasonTable[answer.reason]
   const problem = jobProblem(answer)
-  const advised = problem.ran === ProblemRan.No && RETRYABLE.has(status)
-  if (!advised) return problemReply(problem)
+  const mayRetry = problem.ran === ProblemRan.No && RETRYABLE.has(status)
+  if (!mayRetry) return problemReply(problem)
   const waitMs = answer.retryAfterMs > 0 ? answer.retryAfterMs : DEFAULT_RETRY_AFTER_MS
-  const withAdvice: JobProblem = { ...problem, retryAfter: retryAfterSeconds(waitMs) }
-  return problemReply(withAdvice, retryAfterHeader(waitMs))
+  const withRetryAfter: JobProblem = { ...problem, retryAfter: retryAfterSeconds(waitMs) }
+  return problemReply(withRetryAfter, retryAfterHeader(waitMs))
 }
 
 /** The problem document of a job that did not succeed. @internal */
 export function jobProblem(answer: JobAnswer): JobProblem {
   const { status, title } = reasonTable[answer.reason]
-  const word = reasonWord(answer.reason)
+  const name = reasonName(answer.reason)
   return {
-    type: problemType(word),
+    type: problemType(name),
     title,
     status,
     detail: answer.detail,
-    ran: ranOf(answer),
+    ran: problemRan(answer),
     jobId: answer.jobId,
-    state: stateWord(answer.state),
-    reason: word,
+    state: stateName(answer.state),
+    reason: name,
     settingsVersion: answer.settingsVersion,
     settingsCurrent: answer.settingsCurrent,
   }
 }
 
-/** `no` is claimed only where the answer says so; all else may have run. */
-function ranOf(answer: JobAnswer): ProblemRan {
+/** Reports `no` only for an explicit `NOT_RUN`; with any other outcome the job may have run. */
+function problemRan(answer: JobAnswer): ProblemRan {
   return answer.outcome === Outcome.NOT_RUN ? ProblemRan.No : ProblemRan.Unknown
 }
--- a/packages/http-api/src/lib/callers/askJob.test.ts
+++ b/packages/http-api/src/lib/callers/askJob.test.ts
@@ -8,7 +8,7 @@
 const path = '/v1/jobs/entry-1.b.1'
 const cancelled = { state: JobState.CANCELLED, reason: Reason.CANCELLED, outcome: Outcome.NOT_RUN }
 
-describe('asking after a job', () => {
+describe('GET and DELETE /v1/jobs/{id}', () => {
   const cases = [
     { method: 'GET', known: succeeded(['1']), status: 200, says: /"outputs":\[1\]/ },
     {
@@ -35,7 +35,7 @@
     })
   }
 
-  it('waits when it is asked to', async (t) => {
+  it('waits for the end of the job with wait=true', async (t) => {
     const { server, service } = await openCallerServer(t)
     await send(server.port, `${path}?wait=true`)
     assert.equal(service.questions[0]?.wait, true)
@@ -51,7 +51,7 @@
     })
   }
 
-  it('answers probes without a name, and not ready while it is not', async (t) => {
+  it('answers health probes without a caller name, and 503 while the instance is not ready', async (t) => {
     let ready = true
     const { server } = await openCallerServer(t, { ready: () => ready })
     const headers = { 'Cherryhitch-Caller': '' }
@@ -61,7 +61,7 @@
     assert.equal((await send(server.port, '/readyz', { headers })).status, 503)
   })
 
-  it('answers 405 with what is allowed', async (t) => {
+  it('answers 405 with the allowed methods', async (t) => {
     const { server } = await openCallerServer(t)
     const answer = await send(server.port, '/v1/jobs', { method: 'PUT', body: '{}' })
     assert.equal(answer.status, 405)
--- a/packages/http-api/src/lib/callers/askJob.ts
+++ b/packages/http-api/src/lib/callers/askJob.ts
@@ -10,7 +10,7 @@
 
 const NOT_FOUND = 404
 
-/** The job id of the path. @internal */
+/** Reads the job id from the path. @internal */
 export function readJobId(req: ApiRequest): Result<string, RequestError> {
   const jobId = req.params.id ?? ''
   if (parseJobId(jobId) !== undefined) return Ok(jobId)
@@ -19,8 +19,8 @@
 }
 
 /**
- * The reply about a job that nobody knows. It may have run: its coordinator may have been
- * restarted, or may have forgotten it.
+ * Response for a job that no instance knows. The job may still have run: its coordinator may
+ * have restarted, or may have discarded its record.
  *
  * @internal
  */
@@ -36,10 +36,10 @@
   return problemReply(problem)
 }
 
-/** Fails with a refusal, or goes on with what was read. @internal */
-export function withRead<T>(
-  read: Result<T, RequestError>,
+/** Fails with the error of a parsed request, or continues with its value. @internal */
+export function withParsed<T>(
+  parsed: Result<T, RequestError>,
   next: (value: T) => Effect.Effect<Reply, RequestError>,
 ): Effect.Effect<Reply, RequestError> {
-  return read.err ? Effect.fail(read.val) : next(read.val)
+  return parsed.err ? Effect.fail(parsed.val) : next(parsed.val)
 }
--- a/packages/http-api/src/lib/callers/cancelJob.ts
+++ b/packages/http-api/src/lib/callers/cancelJob.ts
@@ -6,14 +6,14 @@
 import type { Handler } from '../routing/Router'
 import type { JobService } from '../services/JobService'
 import { answerReply, jobProblem } from './answerReply'
-import { readJobId, unknownJobReply, withRead } from './askJob'
+import { readJobId, unknownJobReply, withParsed } from './askJob'
 
 const OK = 200
 
-/** Handles `DELETE /v1/jobs/{id}`: cancels, and says where the job stands. @internal */
+/** Handles `DELETE /v1/jobs/{id}`: cancels the job and returns its state. @internal */
 export function cancelJob(jobs: JobService): Handler {
   return (req) =>
-    withRead(readJobId(req), (jobId) => {
+    withParsed(readJobId(req), (jobId) => {
       const question = { jobId, caller: req.sender, cancel: true, wait: false }
       return Effect.map(jobs.query(question), (answer) =>
         answer === undefined ? unknownJobReply(jobId) : cancelledReply(answer),
@@ -21,7 +21,7 @@
     })
 }
 
-/** A job that is cancelled is what was asked for, so it is no failure here. */
+/** Here a cancelled job is the requested result, so it is answered with 200, not as a problem. */
 function cancelledReply(answer: JobAnswer): Reply {
   if (answer.state !== JobState.CANCELLED) return answerReply(answer)
   const { jobId, state, ran, reason, detail, settingsVersion, settingsCurrent } = jobProblem(answer)
--- a/packages/http-api/src/lib/callers/createJobSpec.ts
+++ b/packages/http-api/src/lib/callers/createJobSpec.ts
@@ -3,27 +3,27 @@
 import { JobSpecSchema, ResourcesSchema, TaskSpecSchema } from '@cherryhitch/protocol'
 import type { JobBody, TaskBody } from './jobBody'
 
-/** What a job gets from elsewhere than its body. @internal */
+/** Fields of a job that do not come from the request body. @internal */
 export interface JobContext {
   readonly caller: string
   readonly submissionKey: string
   readonly traceparent: string
   /** Deadline when the body states none, in milliseconds. */
   readonly defaultDeadlineMs: number
-  /** How long the request has been here already, in milliseconds. */
+  /** Time since the head of the request was received, in milliseconds. */
   readonly waitedMs: number
 }
 
-/** A deadline that has passed is passed on as this: 0 could be read as none. */
-const SHORTEST_DEADLINE_MS = 1
+/** Sent in place of a deadline that has passed, since 0 could be read as no deadline. */
+const MIN_DEADLINE_MS = 1
 
-/** Makes the message of a job from its checked body. @internal */
+/** Builds the job message from a validated request body. @internal */
 export function createJobSpec(body: JobBody, context: JobContext): JobSpec {
   const deadlineMs = body.deadlineMs ?? context.defaultDeadlineMs
   return create(JobSpecSchema, {
     caller: context.caller,
     submissionKey: context.submissionKey,
-    deadlineInMs: Math.max(SHORTEST_DEADLINE_MS, deadlineMs - context.waitedMs),
+    deadlineInMs: Math.max(MIN_DEADLINE_MS, deadlineMs - context.waitedMs),
     idempotent: body.idempotent,
     tasks: body.tasks.map(createTaskSpec),
     traceparent: context.traceparent,
--- a/packages/http-api/src/lib/callers/jobBody.ts
+++ b/packages/http-api/src/lib/callers/jobBody.ts
@@ -16,7 +16,8 @@
     expectedRunMs: Schema.optionalKey(duration),
   })
   return Schema.Struct({
-    // Stated, never guessed: a wrong guess doubles an answer one way and refuses resends the other.
+    // Required, with no default: a wrong `true` could run a job twice, and a wrong `false` would
+    // refuse resends.
     idempotent: Schema.Boolean.pipe(
       Schema.annotateKey({
         messageMissingKey: 'say whether running the job twice would do no harm: true or false',
@@ -27,8 +28,8 @@
   })
 }
 
-/** The body of `POST /v1/jobs`, checked. @internal */
+/** Validated body of `POST /v1/jobs`. @internal */
 export type JobBody = ReturnType<typeof jobBodySchema>['Type']
 
-/** One task of the body. @internal */
+/** One task of a validated body. @internal */
 export type TaskBody = JobBody['tasks'][number]
--- a/packages/http-api/src/lib/callers/queryJob.ts
+++ b/packages/http-api/src/lib/callers/queryJob.ts
@@ -5,13 +5,13 @@
 import type { Handler } from '../routing/Router'
 import type { JobQuestion, JobService } from '../services/JobService'
 import { answerReply } from './answerReply'
-import { readJobId, unknownJobReply, withRead } from './askJob'
+import { readJobId, unknownJobReply, withParsed } from './askJob'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** Handles `GET /v1/jobs/{id}`: the answer that the submission would have got. @internal */
+/** Handles `GET /v1/jobs/{id}`: the same response as to the submission. @internal */
 export function queryJob(jobs: JobService): Handler {
   return (req) =>
-    withRead(readQuestion(req), (question) =>
+    withParsed(readQuestion(req), (question) =>
       Effect.map(jobs.query(question), (answer) =>
         answer === undefined ? unknownJobReply(question.jobId) : answerReply(answer),
       ),
--- a/packages/http-api/src/lib/callers/startCallerServer.ts
+++ b/packages/http-api/src/lib/callers/startCallerServer.ts
@@ -21,7 +21,7 @@
   readonly health: HealthSource
 }
 
-/** Starts the interface for callers; `docs/openapi/callers.yaml` describes it. @public */
+/** Starts the HTTP API for callers, specified in `docs/openapi/callers.yaml`. @public */
 export function startCallerServer(
   options: CallerServerOptions,
 ): Effect.Effect<HttpServer, HttpServerError, Scope.Scope> {
--- a/packages/http-api/src/lib/callers/submissionKey.ts
+++ b/packages/http-api/src/lib/callers/submissionKey.ts
@@ -7,7 +7,7 @@
 const MAX_KEY_LENGTH = 128
 const visiblePattern = /^[\x21-\x7e]+$/
 
-/** The key of a submission; empty when there is none. @internal */
+/** Reads the `Idempotency-Key` header; empty when it is absent. @internal */
 export function readSubmissionKey(headers: IncomingHttpHeaders): Result<string, RequestError> {
   const key = headers['idempotency-key']
   if (key === undefined) return Ok('')
@@ -21,12 +21,15 @@
 }
 
 /**
- * Refuses a job that may run once only but has no key: a resend of it, after a lost answer,
- * could not be told from a second job.
+ * Refuses a non-idempotent job without a key: a resend after a lost response could not be
+ * distinguished from a second job.
  *
  * @internal
  */
-export function checkKeyNeed(idempotent: boolean, key: string): Result<string, RequestError> {
+export function requireKeyIfNonIdempotent(
+  idempotent: boolean,
+  key: string,
+): Result<string, RequestError> {
   if (idempotent || key !== '') return Ok(key)
   const message =
     'A job with "idempotent": false needs the header Idempotency-Key, because without it ' +
--- a/packages/http-api/src/lib/callers/submitJob.test.ts
+++ b/packages/http-api/src/lib/callers/submitJob.test.ts
@@ -10,7 +10,7 @@
 const task = smallJob.tasks[0]
 
 describe('POST /v1/jobs', () => {
-  it('passes the whole job on and answers with its outputs', async (t) => {
+  it('passes every field of the job to the service and answers with its outputs', async (t) => {
     const { server, service } = await openCallerServer(t)
     const sized = { ...task, cores: 2, memoryMb: 512, accelerators: 1, expectedRunMs: 80 }
     const traceparent = `00-${'a'.repeat(32)}-${'b'.repeat(16)}-01`
@@ -43,7 +43,7 @@
     [600, 1],
     [100, 1],
   ]) {
-    it(`takes the time that a job waited here off its deadline of ${deadlineMs ?? 0}`, async (t) => {
+    it(`subtracts the time a job waited in this instance from its deadline of ${deadlineMs ?? 0}`, async (t) => {
       let now = 0
       const clock = { now: () => (now += 200) }
       const { server, service } = await openCallerServer(t, { clock })
@@ -53,7 +53,7 @@
     })
   }
 
-  it('refuses what waited too long for its turn, without looking at it', async (t) => {
+  it('refuses a request that waited too long in the queue, without parsing it', async (t) => {
     let now = 0
     const clock = { now: () => (now += 200) }
     const { server, service } = await openCallerServer(t, { clock, limits: { queueWaitMs: 199 } })
@@ -65,7 +65,7 @@
     assert.equal((await send(server.port, '/readyz')).status, 200)
   })
 
-  it('starts a trace of its own for each job that brings none, or a malformed one', async (t) => {
+  it('starts a new trace for each job without a valid traceparent', async (t) => {
     const { server, service } = await openCallerServer(t)
     await send(server.port, '/v1/jobs', { method: 'POST', body: smallJob })
     const headers = { traceparent: 'nonsense' }
@@ -75,7 +75,7 @@
     assert.ok(!traces.includes(undefined))
   })
 
-  it('answers 202 with the place to ask when the caller does not want to wait', async (t) => {
+  it('answers 202 with the Location of the job to respond-async', async (t) => {
     const { server, service } = await openCallerServer(t)
     service.answer = () => Effect.succeed(unsuccessful({ state: JobState.RUNNING }))
     const headers = { Prefer: 'wait=1, respond-async' }
@@ -94,19 +94,23 @@
   }[] = [
     { name: 'no JSON', body: '{"tasks":', detail: /not JSON/ },
     { name: 'an empty body', body: '', detail: /not JSON/ },
-    { name: 'a body that is no object', body: '[]', detail: /the body/ },
-    { name: 'no word on idempotency', body: { tasks: [task] }, detail: /^\/idempotent: say/ },
+    { name: 'a body that is not an object', body: '[]', detail: /the body/ },
+    { name: 'a job without idempotent', body: { tasks: [task] }, detail: /^\/idempotent: say/ },
     { name: 'no tasks', body: { ...smallJob, tasks: [] }, detail: /^\/tasks: / },
-    { name: 'too many', body: { ...smallJob, tasks: Array(4).fill(task) }, detail: /^\/tasks: / },
+    {
+      name: 'too many tasks',
+      body: { ...smallJob, tasks: Array(4).fill(task) },
+      detail: /^\/tasks: /,
+    },
     { name: 'a misspelt member', body: { ...smallJob, deadlinems: 5 }, detail: /^\/deadlinems: / },
     { name: 'a deadline of 0', body: { ...smallJob, deadlineMs: 0 }, detail: /^\/deadlineMs: / },
     {
-      name: 'an endless deadline',
+      name: 'a deadline past the limit',
       body: { ...smallJob, deadlineMs: 1e12 },
       detail: /^\/deadlineMs: /,
     },
     {
-      name: 'a service that is no name',
+      name: 'an invalid service name',
       body: { ...smallJob, tasks: [task, { ...task, service: '../x' }] },
       detail: /^\/tasks\/1\/service: is no valid name/,
     },
@@ -121,17 +125,17 @@
       detail: /^\/tasks\/0\/cores: /,
     },
     {
-      name: 'a number that would be changed',
+      name: 'an integer that a double can not hold exactly',
       body: '{"idempotent":true,"tasks":[{"service":"a","payload":{"a/b":9007199254740993}}]}',
       detail: /^\/tasks\/0\/payload\/a~1b: .*send it as a string/,
     },
     {
-      name: 'a number beyond all doubles',
+      name: 'a number beyond the range of a double',
       body: '{"idempotent":true,"tasks":[{"service":"a","payload":[1e999]}]}',
       detail: /^\/tasks\/0\/payload\/0: /,
     },
     {
-      name: 'nesting without end',
+      name: 'nesting past the limit',
       body: `{"idempotent":true,"tasks":[{"service":"a","payload":${'['.repeat(3000)}${']'.repeat(3000)}}]}`,
       detail: /nested deeper/,
     },
@@ -141,7 +145,7 @@
       detail: /Idempotency-Key/,
     },
     {
-      name: 'a key with a blank',
+      name: 'a key with a space',
       body: smallJob,
       headers: { 'Idempotency-Key': 'a b' },
       detail: /Idempotency-Key/,
@@ -153,13 +157,13 @@
       detail: /Idempotency-Key/,
     },
     {
-      name: 'a caller that is no name',
+      name: 'an invalid caller name',
       body: smallJob,
       headers: { 'Cherryhitch-Caller': 'a.b' },
       detail: /Cherryhitch-Caller/,
     },
     {
-      name: 'a form',
+      name: 'a form body',
       body: 'a=1',
       headers: { 'Content-Type': 'application/x-www-form-urlencoded' },
       status: 415,
@@ -187,7 +191,7 @@
     })
   }
 
-  it('refuses a key that was sent twice', async (t) => {
+  it('refuses two Idempotency-Key headers', async (t) => {
     const { server, service } = await openCallerServer(t)
     const keys = ['Idempotency-Key: a', 'Idempotency-Key: b', 'Connection: close']
     const raw = await exchangeRaw(server.port, rawJob(JSON.stringify(smallJob), keys))
@@ -195,7 +199,7 @@
     assert.equal(service.submitted.length, 0)
   })
 
-  it('says "unknown" when the service breaks down', async (t) => {
+  it('answers ran: unknown when the service dies with a defect', async (t) => {
     const { server, service, logged } = await openCallerServer(t)
     service.answer = () => Effect.die(new Error('broken'))
     const answer = await send(server.port, '/v1/jobs', { method: 'POST', body: smallJob })
@@ -204,7 +208,7 @@
     assert.match(logged.join('\n'), /POST \/v1\/jobs failed: .*broken/)
   })
 
-  it('says "unknown" when the service throws rather than fails', async (t) => {
+  it('answers ran: unknown when the service throws synchronously', async (t) => {
     const { server, service } = await openCallerServer(t)
     service.answer = () => {
       throw new Error('thrown')
@@ -213,7 +217,7 @@
     assert.equal(problemOf(answer).ran, 'unknown')
   })
 
-  it('tells the service that the caller has gone', async (t) => {
+  it('interrupts the service when the caller disconnects', async (t) => {
     const { server, service } = await openCallerServer(t)
     service.answer = () => Effect.never
     const gone = new AbortController()
@@ -232,7 +236,7 @@
     assert.equal(server.counters().abandoned, 1)
   })
 
-  it('never passes a refused job off as run, nor the other way round', async (t) => {
+  it('answers ran: no only for the outcome NOT_RUN', async (t) => {
     const { server, service } = await openCallerServer(t)
     const outcomes = [Outcome.NOT_RUN, Outcome.UNKNOWN, Outcome.FAILED, Outcome.UNSPECIFIED]
     const states = [JobState.FAILED, JobState.REFUSED, JobState.CANCELLED, JobState.UNSPECIFIED]
--- a/packages/http-api/src/lib/callers/submitJob.ts
+++ b/packages/http-api/src/lib/callers/submitJob.ts
@@ -14,7 +14,7 @@
 import { createJobSpec } from './createJobSpec'
 import { jobBodySchema } from './jobBody'
 import type { JobBody } from './jobBody'
-import { checkKeyNeed, readSubmissionKey } from './submissionKey'
+import { requireKeyIfNonIdempotent, readSubmissionKey } from './submissionKey'
 import { Ok } from '@cherryhitch/model'
 
 interface Submission {
@@ -30,7 +30,7 @@
   function read(req: ApiRequest): Result<Submission, RequestError> {
     return readSubmissionKey(req.headers).andThen((key) =>
       decode(req.body).andThen((body) =>
-        checkKeyNeed(body.idempotent, key).andThen(() => Ok({ body, key })),
+        requireKeyIfNonIdempotent(body.idempotent, key).andThen(() => Ok({ body, key })),
       ),
     )
   }
@@ -53,7 +53,7 @@
   }
 }
 
-/** Starts traces: unique in the system, at the cost of one random number per process. */
+/** Generates system-wide unique root traceparents from one random seed per process. */
 function traceparentSource(): () => string {
   const seed = randomUUID()
   let count = 0
@@ -69,7 +69,7 @@
   return text
 }
 
-/** Reads `Prefer: respond-async` (RFC 7240), which may stand among other preferences. */
+/** Reads `Prefer: respond-async` (RFC 7240), which may be one of several preferences. */
 function prefersAsync(headers: IncomingHttpHeaders): boolean {
   const prefer = headers.prefer
   const text = Array.isArray(prefer) ? prefer.join(',') : (prefer ?? '')
--- a/packages/http-api/src/lib/exchange/ApiRequest.ts
+++ b/packages/http-api/src/lib/exchange/ApiRequest.ts
@@ -1,17 +1,17 @@
 import type { IncomingHttpHeaders } from 'node:http'
 
-/** A request whose sender is known and whose body was received whole. @public */
+/** An authenticated request whose body has been received completely. @public */
 export interface ApiRequest {
   /** Values of the path's variable segments. */
   readonly params: Readonly<Record<string, string>>
   readonly query: URLSearchParams
   readonly headers: IncomingHttpHeaders
-  /** Name of the caller or operator; empty where the interface knows none. */
+  /** Name of the caller or operator; empty on routes without authentication. */
   readonly sender: string
   /** Text of the body; empty when the route takes none. */
   readonly body: string
-  /** When its head was received, in milliseconds since the epoch. */
+  /** When the request head was received, in milliseconds since the epoch. */
   readonly receivedAt: number
-  /** The present time, in milliseconds since the epoch. */
+  /** When the handler was started, in milliseconds since the epoch. */
   readonly now: number
 }
--- a/packages/http-api/src/lib/exchange/BodyBudget.ts
+++ b/packages/http-api/src/lib/exchange/BodyBudget.ts
@@ -1,21 +1,21 @@
-/** Bounds the bytes of request bodies that are in memory at the same time. @internal */
+/** Limits the total bytes of request bodies in memory at one time. @internal */
 export class BodyBudget {
-  private held = 0
+  private reserved = 0
 
   constructor(private readonly limit: number) {}
 
-  /** Takes bytes; false when there are not that many left, and then takes none. */
-  take(bytes: number): boolean {
-    if (this.held + bytes > this.limit) return false
-    this.held += bytes
+  /** Reserves bytes; returns false and reserves nothing when the limit would be exceeded. */
+  reserve(bytes: number): boolean {
+    if (this.reserved + bytes > this.limit) return false
+    this.reserved += bytes
     return true
   }
 
-  giveBack(bytes: number): void {
-    this.held -= bytes
+  release(bytes: number): void {
+    this.reserved -= bytes
   }
 
-  heldBytes(): number {
-    return this.held
+  reservedBytes(): number {
+    return this.reserved
   }
 }
--- a/packages/http-api/src/lib/exchange/BodyReader.ts
+++ b/packages/http-api/src/lib/exchange/BodyReader.ts
@@ -10,8 +10,8 @@
 export type BodyResult = Result<string, RequestError>
 
 /**
- * Receives one body within the limits and reports once: the text, or the refusal. It holds
- * its bytes in the budget until `release`.
+ * Receives one body within the limits and calls `report` once, with the text or the refusal.
+ * Its bytes stay reserved in the budget until `release`.
  *
  * @internal
  */
@@ -28,32 +28,32 @@
     private readonly report: (result: BodyResult) => void,
   ) {
     this.timer = setTimeout(() => {
-      this.finish(Err(tooSlow(limits.requestTimeoutMs)))
+      this.finish(Err(bodyTimedOut(limits.requestTimeoutMs)))
     }, limits.requestTimeoutMs)
     req.on('data', (chunk: Buffer) => {
-      this.take(chunk)
+      this.append(chunk)
     })
     req.on('end', () => {
       this.finish(this.text())
     })
   }
 
-  /** Gives the bytes back, and stops listening. */
+  /** Returns the reserved bytes to the budget and ignores further data. */
   release(): void {
     this.done = true
     clearTimeout(this.timer)
-    this.budget.giveBack(this.received)
+    this.budget.release(this.received)
     this.received = 0
     this.chunks.length = 0
   }
 
-  private take(chunk: Buffer): void {
+  private append(chunk: Buffer): void {
     if (this.done) return
     if (this.received + chunk.length > this.limits.bodyBytes) {
       this.finish(Err(tooLarge(this.limits.bodyBytes)))
       return
     }
-    if (!this.budget.take(chunk.length)) {
+    if (!this.budget.reserve(chunk.length)) {
       this.finish(Err(overloaded()))
       return
     }
@@ -61,7 +61,7 @@
     this.chunks.push(chunk)
   }
 
-  /** A body that is not UTF-8 is refused: decoding it anyway would change the payload. */
+  /** Refuses a body that is not UTF-8, since lenient decoding would alter the payload. */
   private text(): BodyResult {
     const bytes = this.chunks.length === 1 ? this.chunks[0] : Buffer.concat(this.chunks)
     if (bytes === undefined) return Ok('')
@@ -78,7 +78,7 @@
 }
 
 /**
- * Refuses by the head alone what the body could not mend.
+ * Refuses a request for what its head declares, before the body is read.
  *
  * @internal
  */
@@ -102,7 +102,7 @@
   return new RequestError(RequestErrorKind.BodyTooLarge, `At most ${limit} bytes are taken.`)
 }
 
-function tooSlow(limitMs: number): RequestError {
+function bodyTimedOut(limitMs: number): RequestError {
   const message = `The body did not arrive within ${limitMs} ms.`
   return new RequestError(RequestErrorKind.BodyTimeout, message)
 }
--- a/packages/http-api/src/lib/exchange/Exchange.ts
+++ b/packages/http-api/src/lib/exchange/Exchange.ts
@@ -7,20 +7,20 @@
 import { requestErrorReply } from '../problems/requestErrorReply'
 import type { RouteMatch } from '../routing/Router'
 import { BodyReader, checkBodyHead } from './BodyReader'
-import type { ExchangeHost, ExchangePlace } from './ExchangeHost'
+import type { ExchangeHost, PipelinePosition } from './ExchangeHost'
 import type { Reply } from './Reply'
 import { sendReply } from './sendReply'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** A request that may be handled once its body is there. */
+/** A routed and authenticated request that may be handled once its body is received. */
 interface Admitted extends RouteMatch {
   readonly query: URLSearchParams
   readonly sender: string
 }
 
 /**
- * One request and its answer. It goes through head, body and handler, and answers once; or it
- * is abandoned because the client is gone, which interrupts the handler.
+ * One HTTP request and its response. It checks the head, receives the body, runs the handler
+ * and responds once. A client disconnect abandons it, which interrupts the handler.
  *
  * @internal
  */
@@ -34,22 +34,22 @@
     private readonly host: ExchangeHost,
     private readonly req: IncomingMessage,
     private readonly res: ServerResponse,
-    private readonly place: ExchangePlace,
+    private readonly position: PipelinePosition,
   ) {
     this.receivedAt = host.clock.now()
-    // A write to a connection that has just closed; `abandon` follows.
+    // A write can fail when the connection has just closed; `abandon` is then called.
     res.on('error', (err) => {
-      host.log(`an answer could not be sent: ${err.message}`)
+      host.log(`failed to send response: ${err.message}`)
     })
   }
 
-  /** Whether it was answered or abandoned. */
+  /** Whether a response was written or the exchange was abandoned. */
   isEnded(): boolean {
     return this.ended
   }
 
   /**
-   * Starts work on the request.
+   * Starts processing the request.
    *
    * @param awaitsContinue - the client sends its body only after a 100 (Continue)
    */
@@ -61,9 +61,9 @@
     }
     const { route } = admitted.val
     if (!route.takesBody) {
-      // Probes are answered at once: they ask whether this process keeps up.
+      // Probes bypass the queue, since they check whether this process is responsive.
       if (route.open === true) this.run(admitted.val, '')
-      else this.await(admitted.val, '')
+      else this.enqueue(admitted.val, '')
       return
     }
     const fault = checkBodyHead(this.req, this.host.limits)
@@ -75,18 +75,18 @@
     this.receiveBody(admitted.val)
   }
 
-  /** Answers with a refusal; nothing ran. */
+  /** Responds with a problem document stating that nothing ran. */
   refuse(err: RequestError): void {
     this.answer(requestErrorReply(err))
   }
 
-  /** The client is gone: nobody waits for the answer any more. */
+  /** Ends the exchange after a client disconnect and interrupts the handler. */
   abandon(): void {
     if (this.ended) return
     this.end()
     this.host.countAbandoned()
     this.fiber?.interruptUnsafe()
-    this.place.leave()
+    this.position.release()
   }
 
   private admit(): Result<Admitted, RequestError> {
@@ -107,19 +107,19 @@
   private receiveBody(admitted: Admitted): void {
     const { limits, budget } = this.host
     this.body = new BodyReader(this.req, limits, budget, (result) => {
-      if (result.ok) this.await(admitted, result.val)
+      if (result.ok) this.enqueue(admitted, result.val)
       else this.refuse(result.val)
     })
   }
 
-  /** Waits for a turn. The client may be gone before it comes, or have waited too long. */
-  private await(admitted: Admitted, body: string): void {
+  /** Queues the request; it is refused if it waits longer than `queueWaitMs`. */
+  private enqueue(admitted: Admitted, body: string): void {
     const { clock, limits, turns } = this.host
     const queuedAt = clock.now()
     turns.add(() => {
       const waitedMs = clock.now() - queuedAt
       if (waitedMs <= limits.queueWaitMs) this.run(admitted, body)
-      else this.refuse(waitedTooLong(waitedMs))
+      else this.refuse(queueWaitExceeded(waitedMs))
     })
   }
 
@@ -130,7 +130,7 @@
     const { headers } = this.req
     const { receivedAt } = this
     const request = { params, query, headers, sender, body, receivedAt, now }
-    // Suspended, so that a handler that throws ends as a defect of the fiber.
+    // Suspended so that an exception thrown by the handler becomes a defect of the fiber.
     this.fiber = Effect.runFork(Effect.suspend(() => route.handle(request)))
     this.fiber.addObserver((exit) => {
       this.settle(exit)
@@ -157,13 +157,13 @@
     if (this.ended) return
     this.end()
     this.host.countAnswer(reply.status)
-    // It counts as in progress until it was handed to the system: a shutdown must not cut it.
+    // Counts as in progress until the response is flushed, so that a shutdown does not truncate it.
     this.res.once('close', () => {
-      this.place.leave()
+      this.position.release()
     })
-    // A pipelined request behind this one would be cut off; its answer closes instead.
-    const asked = this.host.isClosing() || reply.close === true
-    const close = asked && this.place.isNewest()
+    // Closing now would cut off later pipelined requests; the newest response closes instead.
+    const shouldClose = this.host.isClosing() || reply.close === true
+    const close = shouldClose && this.position.isNewest()
     sendReply(this.req, this.res, reply, { close, lingerMs: this.host.limits.lingerMs })
   }
 
@@ -174,12 +174,12 @@
 }
 
 function splitTarget(target: string): readonly string[] {
-  const cut = target.indexOf('?')
-  return cut < 0 ? [target] : [target.slice(0, cut), target.slice(cut + 1)]
+  const queryStart = target.indexOf('?')
+  return queryStart < 0 ? [target] : [target.slice(0, queryStart), target.slice(queryStart + 1)]
 }
 
-/** Refused unread: reading is what an instance that is behind has no time for. */
-function waitedTooLong(waitedMs: number): RequestError {
+/** Refused without parsing the body, since an overloaded instance has no time to spare for it. */
+function queueWaitExceeded(waitedMs: number): RequestError {
   const message = `The request waited ${Math.round(waitedMs)} ms for its turn; try another instance.`
   return new RequestError(RequestErrorKind.Overloaded, message, { 'Retry-After': '1' })
 }
--- a/packages/http-api/src/lib/exchange/ExchangeHost.ts
+++ b/packages/http-api/src/lib/exchange/ExchangeHost.ts
@@ -4,26 +4,26 @@
 import type { BodyBudget } from './BodyBudget'
 import type { TurnQueue } from './TurnQueue'
 
-/** What an exchange needs of the server that it belongs to. @internal */
+/** Server state and limits shared by all exchanges of one server. @internal */
 export interface ExchangeHost {
   readonly limits: HttpLimits
   readonly budget: BodyBudget
-  /** Where requests wait for their turn. */
+  /** Queue of requests waiting to be handled. */
   readonly turns: TurnQueue
   readonly router: Router
   readonly auth: Authenticator
   readonly clock: HttpClock
   readonly log: (line: string) => void
-  /** Whether answers close their connections. */
+  /** Whether responses close their connections. */
   isClosing(): boolean
   countAnswer(status: number): void
   countAbandoned(): void
 }
 
-/** Where an exchange stands on its connection. @internal */
-export interface ExchangePlace {
-  /** Whether no later request has come on the same connection. */
+/** Position of an exchange among the pipelined requests of its connection. @internal */
+export interface PipelinePosition {
+  /** Whether no later request has arrived on the same connection. */
   isNewest(): boolean
-  /** The answer is sent, or nobody waits for it. */
-  leave(): void
+  /** Removes the exchange from the connection, once it is flushed or abandoned. */
+  release(): void
 }
--- a/packages/http-api/src/lib/exchange/TurnQueue.test.ts
+++ b/packages/http-api/src/lib/exchange/TurnQueue.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { TurnQueue } from './TurnQueue'
 
-/** A queue whose time and turns the test moves; each piece of work takes 1 ms. */
+/** A queue whose clock and event-loop turns the test controls; each work item takes 1 ms. */
 function openQueue(budgetMs: number) {
   let now = 0
   const turns: (() => void)[] = []
@@ -22,8 +22,8 @@
   return { queue, turns, done, add, turn: () => turns.shift()?.() }
 }
 
-describe('the queue of work for turns of the event loop', () => {
-  it('runs nothing before the next turn, and asks for one turn only', () => {
+describe('TurnQueue', () => {
+  it('runs nothing before the next turn, and schedules only one turn', () => {
     const { turns, done, add } = openQueue(5)
     add(1)
     add(2)
@@ -31,7 +31,7 @@
     assert.equal(turns.length, 1)
   })
 
-  it('leaves what exceeds the budget to later turns, in order', () => {
+  it('defers work beyond the budget to later turns, in order', () => {
     const { queue, turns, done, add, turn } = openQueue(2)
     for (const id of [1, 2, 3, 4, 5]) add(id)
     turn()
@@ -43,7 +43,7 @@
     assert.equal(turns.length, 0)
   })
 
-  it('moves on by one piece a turn however small the budget', () => {
+  it('runs at least one work item per turn however small the budget', () => {
     const { done, add, turn } = openQueue(0)
     add(1)
     add(2)
@@ -51,7 +51,7 @@
     assert.deepEqual(done, [1])
   })
 
-  it('takes work that is added by work', () => {
+  it('accepts work added by running work', () => {
     const { done, add, turn } = openQueue(2)
     add(1, () => {
       add(2)
@@ -61,7 +61,7 @@
     assert.deepEqual(done, [1, 2])
   })
 
-  it('goes on after work that throws', () => {
+  it('continues after work that throws', () => {
     const { done, add, turn } = openQueue(5)
     add(1, () => {
       throw new Error('broken')
--- a/packages/http-api/src/lib/exchange/TurnQueue.ts
+++ b/packages/http-api/src/lib/exchange/TurnQueue.ts
@@ -1,9 +1,9 @@
 /**
- * Runs work in the order it came, for a bounded time in each turn of the event loop.
+ * Runs work in FIFO order, for a bounded time in each turn of the event loop.
  *
- * Node accepts one new connection in a turn. Were all requests that are ready handled in the
- * turn that read them, a turn would grow with the load, and new clients would wait for
- * seconds behind those that are connected; `docs/design/http-interfaces.md` has the figures.
+ * Node accepts one new connection per turn. If all ready requests were handled in the turn that
+ * read them, turns would lengthen with load, and new clients would wait seconds behind connected
+ * ones; `docs/design/http-interfaces.md` has the figures.
  *
  * @internal
  */
@@ -12,9 +12,9 @@
   private scheduled = false
 
   /**
-   * @param budgetMs - no further work is begun in a turn once this has passed
+   * @param budgetMs - time in a turn after which no further work is started
    * @param now - monotonic time in milliseconds
-   * @param nextTurn - calls back in the next turn of the event loop
+   * @param nextTurn - schedules a callback for the next turn of the event loop
    */
   constructor(
     private readonly budgetMs: number,
@@ -27,7 +27,7 @@
     this.schedule()
   }
 
-  /** Work that has not begun. */
+  /** Number of work items that have not started. */
   size(): number {
     return this.waiting.length
   }
@@ -41,7 +41,7 @@
     })
   }
 
-  /** At least one piece is run, so that the queue moves on whatever the time. */
+  /** Runs at least one work item, so that the queue always makes progress. */
   private runTurn(): void {
     const until = this.now() + this.budgetMs
     let done = 0
--- a/packages/http-api/src/lib/exchange/decodeBody.ts
+++ b/packages/http-api/src/lib/exchange/decodeBody.ts
@@ -5,20 +5,20 @@
 import { parseJson } from './parseJson'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** Turns a body's text into a checked value, or says where it is wrong. @internal */
+/** Parses and validates a body; an error names the member that is invalid. @internal */
 export type BodyDecoder<T> = (text: string) => Result<T, RequestError>
 
-/** What to do about members that the schema does not know. @internal */
+/** How to treat members that the schema does not define. @internal */
 export enum ExtraMembers {
-  /** A misspelt member must not be dropped in silence. */
+  /** Rejects them, so that a misspelt member is not silently dropped. */
   Refuse = 'error',
-  /** The sender may be of a newer version. */
+  /** Ignores them, since the sender may run a newer version. */
   Ignore = 'ignore',
 }
 
 const formatIssue = SchemaIssue.makeFormatterStandardSchemaV1()
 
-/** Makes a decoder of a schema; made once for each kind of body. @internal */
+/** Creates a decoder for a schema; create it once per kind of body and reuse it. @internal */
 export function bodyDecoder<S extends Schema.ConstraintDecoder<unknown>>(
   schema: S,
   maxDepth: number,
--- a/packages/http-api/src/lib/exchange/formatPointer.ts
+++ b/packages/http-api/src/lib/exchange/formatPointer.ts
@@ -1,4 +1,4 @@
-/** Writes a path as a JSON Pointer (RFC 6901), such as `/tasks/0/service`. @internal */
+/** Formats a path as a JSON Pointer (RFC 6901), such as `/tasks/0/service`. @internal */
 export function formatPointer(path: readonly PropertyKey[]): string {
   if (path.length === 0) return 'the body'
   return path.map((key) => `/${escapeKey(String(key))}`).join('')
--- a/packages/http-api/src/lib/exchange/parseJson.test.ts
+++ b/packages/http-api/src/lib/exchange/parseJson.test.ts
@@ -7,13 +7,13 @@
 const MAX_DEPTH = 8
 const text = fc.json({ maxDepth: MAX_DEPTH - 1 })
 
-/** Canonical text of a JSON text, after Node's own parser. */
+/** Parses and re-serializes a JSON text with Node's own parser. */
 function rewrite(json: string): string {
   return JSON.stringify(JSON.parse(json))
 }
 
-describe('parsing a body', () => {
-  it('passes on what it takes without a change, and takes all that survives it', () => {
+describe('parseJson', () => {
+  it('returns accepted values unchanged, and refuses only numbers that would change', () => {
     const holds = (json: string): void => {
       const result = parseJson(json, MAX_DEPTH)
       if (result.ok) assert.equal(JSON.stringify(result.val), rewrite(json))
@@ -22,7 +22,7 @@
     fc.assert(fc.property(text, holds), { seed: SEED, numRuns: 500 })
   })
 
-  it('refuses broken texts with a sentence and never throws', () => {
+  it('refuses truncated texts with an error and never throws', () => {
     const cut = fc.tuple(text, fc.nat({ max: 200 }))
     const holds = ([json, at]: readonly [string, number]): void => {
       const result = parseJson(json.slice(0, at), MAX_DEPTH)
@@ -46,7 +46,7 @@
     ['NaN', 'The body is not JSON'],
   ]
   for (const [json, fault] of cases) {
-    it(`${fault === '' ? 'takes' : 'refuses'} ${json.slice(0, 40)}`, () => {
+    it(`${fault === '' ? 'accepts' : 'refuses'} ${json.slice(0, 40)}`, () => {
       const result = parseJson(json, MAX_DEPTH)
       const message = result.err ? result.val.message : ''
       if (fault === '') assert.equal(message, '')
--- a/packages/http-api/src/lib/exchange/parseJson.ts
+++ b/packages/http-api/src/lib/exchange/parseJson.ts
@@ -3,7 +3,7 @@
 import { formatPointer } from './formatPointer'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** One value of the body; the links to the parents spell its path when there is a fault. */
+/** One object or array of the body; the parent links give its path for error messages. */
 interface Visit {
   readonly value: object
   readonly key: string
@@ -12,9 +12,9 @@
 }
 
 /**
- * Parses a body. Besides malformed JSON it refuses what could not be passed on unchanged:
- * integers beyond 2^53 and numbers beyond the range of a double would silently become others.
- * Nesting is bounded because writing JSON again is recursive.
+ * Parses a body. Besides malformed JSON it refuses integers beyond 2^53 and numbers beyond the
+ * range of a double, which would silently change when passed on. Nesting is bounded because
+ * serializing JSON is recursive.
  *
  * @internal
  */
@@ -29,11 +29,11 @@
   return fault === undefined ? Ok(value) : Err(malformed(fault))
 }
 
-/** Walks without recursion, so that deep nesting can't exhaust the stack. */
+/** Traverses iteratively, so that deep nesting can't exhaust the stack. */
 function findFault(root: unknown, maxDepth: number): string | undefined {
   const pending: Visit[] = []
-  const look = (value: unknown, key: string, parent: Visit | undefined): string | undefined => {
-    if (typeof value === 'number' && !survivesRewriting(value)) {
+  const inspect = (value: unknown, key: string, parent: Visit | undefined): string | undefined => {
+    if (typeof value === 'number' && !isExactlyRepresentable(value)) {
       const pointer = formatPointer(pathOf(key, parent))
       return `${pointer}: the number is too large to be passed on exactly; send it as a string.`
     }
@@ -42,18 +42,18 @@
     }
     return undefined
   }
-  let fault = look(root, '', undefined)
+  let fault = inspect(root, '', undefined)
   for (let visit = pending.pop(); visit !== undefined; visit = pending.pop()) {
     if (visit.depth > maxDepth) return `The body is nested deeper than ${maxDepth} levels.`
     for (const key of Object.keys(visit.value)) {
-      fault ??= look(visit.value[key as keyof typeof visit.value], key, visit)
+      fault ??= inspect(visit.value[key as keyof typeof visit.value], key, visit)
     }
     if (fault !== undefined) return fault
   }
   return fault
 }
 
-/** The keys from the body down to a value; the body itself has none. */
+/** Keys from the root of the body to a value; empty for the root itself. */
 function pathOf(key: string, parent: Visit | undefined): readonly string[] {
   const keys: string[] = []
   let last = key
@@ -64,7 +64,7 @@
   return keys
 }
 
-function survivesRewriting(value: number): boolean {
+function isExactlyRepresentable(value: number): boolean {
   if (!Number.isFinite(value)) return false
   return !Number.isInteger(value) || Number.isSafeInteger(value)
 }
--- a/packages/http-api/src/lib/exchange/schemas.ts
+++ b/packages/http-api/src/lib/exchange/schemas.ts
@@ -1,7 +1,7 @@
 import { isValidName } from '@cherryhitch/model'
 import { Schema } from 'effect'
 
-/** Most cores, megabytes or accelerators in one figure; far beyond any worker. */
+/** Upper bound of cores, megabytes or accelerators; far beyond any worker. */
 const MAX_RESOURCE = 1e7
 const MAX_TOKEN_LENGTH = 128
 const MAX_SENTENCE_LENGTH = 500
@@ -14,19 +14,19 @@
   ),
 )
 
-/** A figure of cores, megabytes of memory, or accelerators. @internal */
+/** An amount of cores, memory in megabytes, or accelerators. @internal */
 export const resourceSchema = Schema.Number.check(
   Schema.isBetween({ minimum: 0, maximum: MAX_RESOURCE }),
 )
 
-/** An id that the client or the system made, such as a command id or a disk id. @internal */
+/** An opaque id from the client or the system, such as a command id or a disk id. @internal */
 export const tokenSchema = Schema.String.check(
   Schema.makeFilter((text: string) =>
     isToken(text) ? undefined : 'must be 1 to 128 visible ASCII characters',
   ),
 )
 
-/** A sentence for auditors; an empty one would tell them nothing. @internal */
+/** Text for the audit record; it must not be blank, as it has to inform auditors. @internal */
 export const sentenceSchema = Schema.String.check(
   Schema.makeFilter((text: string) =>
     isSentence(text) ? undefined : 'must be 1 to 500 characters, not all of them blank',
--- a/packages/http-api/src/lib/exchange/sendReply.ts
+++ b/packages/http-api/src/lib/exchange/sendReply.ts
@@ -3,18 +3,18 @@
 
 /** @internal */
 export interface SendOptions {
-  /** Whether the connection is to be closed after the answer. */
+  /** Whether to close the connection after the response. */
   readonly close: boolean
-  /** How long the rest of a body is read and thrown away, in milliseconds. */
+  /** How long the rest of a request body is read and discarded, in milliseconds. */
   readonly lingerMs: number
 }
 
 /**
- * Writes an answer.
+ * Writes a response.
  *
- * When the request's body has not arrived whole, the connection can't be used again. Closing
- * it at once would reset it, and the client, still sending, might never read the answer: so the
- * answer is written, the rest is thrown away for a while, and only then it closes.
+ * If the request body has not been received completely, the connection can't be reused. Closing
+ * it at once would reset it, and a client that is still sending might never read the response.
+ * So the rest of the body is discarded for up to `lingerMs` before the connection is closed.
  *
  * @internal
  */
--- a/packages/http-api/src/lib/pages/pages.test.ts
+++ b/packages/http-api/src/lib/pages/pages.test.ts
@@ -8,7 +8,7 @@
 import { send } from '../fixtures/clients'
 import { succeeded, unsuccessful } from '../fixtures/FakeServices'
 import { openCallerServer, openEndpointServer, openOperatorServer } from '../fixtures/testServers'
-import { reasonTable, reasonWord } from '../problems/reasonTable'
+import { reasonTable, reasonName } from '../problems/reasonTable'
 import { refusals } from '../problems/requestErrorReply'
 import { defaultHttpLimits } from '../server/HttpServerOptions'
 
@@ -55,7 +55,7 @@
 
 describe('the page for callers', () => {
   for (const reason of Object.values(Reason).filter((value) => typeof value === 'number')) {
-    const word = reasonWord(reason)
+    const word = reasonName(reason)
     it(`explains ${word} with its status`, () => {
       const { status } = reasonTable[reason]
       if (reason === Reason.UNSPECIFIED) {
--- a/packages/http-api/src/lib/problems/reasonTable.ts
+++ b/packages/http-api/src/lib/problems/reasonTable.ts
@@ -40,7 +40,7 @@
   [Reason.PRESET_LIMIT]: { status: 503, title: 'The preset in force admits no more.' },
 }
 
-/** The word of a reason in answers, such as `queue_full`. @internal */
-export function reasonWord(reason: Reason): string {
+/** Name of a reason in response bodies, such as `queue_full`. @internal */
+export function reasonName(reason: Reason): string {
   return Reason[reason].toLowerCase()
 }
--- a/packages/http-api/src/lib/server/ServerHost.ts
+++ b/packages/http-api/src/lib/server/ServerHost.ts
@@ -164,7 +164,7 @@
     this.counts.countRequest()
     const exchange: Exchange = new Exchange(this, req, res, {
       isNewest: () => this.table.isNewest(socket, exchange),
-      leave: () => {
+      release: () => {
         this.table.end(socket, exchange)
       },
     })
