--- a/packages/http-api/src/lib/auth/Authenticator.ts
+++ b/packages/http-api/src/lib/auth/Authenticator.ts
@@ -2,14 +2,14 @@
 import type { Result } from 'ts-results'
 import type { RequestError } from '../problems/RequestError'
 
-/** Which interface a token opens. @public */
+/** The API that a token gives access to. @public */
 export enum AccessRole {
   Caller = 'caller',
   Endpoint = 'endpoint',
   Operator = 'operator',
 }
 
-/** A bearer token and whom it stands for. @public */
+/** A bearer token and the identity it authenticates. @public */
 export interface AccessToken {
   readonly token: string
   /** Name of the caller, endpoint group or operator. */
@@ -17,8 +17,8 @@
   readonly role: AccessRole
 }
 
-/** Tells who sent a request. @public */
+/** Identifies the sender of a request. @public */
 export abstract class Authenticator {
-  /** Name of the sender, or the refusal. */
+  /** Returns the name of the sender, or the refusal. */
   abstract identify(headers: IncomingHttpHeaders): Result<string, RequestError>
 }
--- a/packages/http-api/src/lib/auth/BearerAuthenticator.ts
+++ b/packages/http-api/src/lib/auth/BearerAuthenticator.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Knows senders by bearer tokens. It compares digests of one length, in constant time, and
- * always all of them, so that timing tells nothing about the tokens.
+ * Identifies senders by bearer tokens. It compares fixed-length digests in constant time, and
+ * always all of them, so that timing reveals nothing about the tokens.
  *
  * @public
  */
--- a/packages/http-api/src/lib/auth/HeaderAuthenticator.ts
+++ b/packages/http-api/src/lib/auth/HeaderAuthenticator.ts
@@ -9,13 +9,13 @@
   /** Header that names the sender. */
   readonly header: string
   readonly isValid: (name: string) => boolean
-  /** Whether requests without the header come through, with an empty name. */
+  /** Whether requests without the header are accepted, with an empty name. */
   readonly optional: boolean
 }
 
 /**
- * Believes the name in a header. For networks where the balancer has identified the sender
- * already, and for trials.
+ * Trusts the name in a header. For networks whose load balancer has already authenticated the
+ * sender, and for test deployments.
  *
  * @public
  */
@@ -33,7 +33,7 @@
   }
 }
 
-/** Refusal of a request whose sender has to be known by a header. @internal */
+/** Refusal of a request whose identifying header is missing or invalid. @internal */
 export function missingName(header: string): RequestError {
   return new RequestError(RequestErrorKind.Malformed, `State your name in the header ${header}.`)
 }
--- a/packages/http-api/src/lib/auth/createAuthenticator.test.ts
+++ b/packages/http-api/src/lib/auth/createAuthenticator.test.ts
@@ -10,7 +10,7 @@
   { token: 'op-secret', name: 'tanaka', role: AccessRole.Operator },
 ]
 
-describe('senders with tokens', () => {
+describe('createAuthenticator with tokens', () => {
   const auth = createAuthenticator(AccessRole.Caller, tokens)
   const cases: readonly (readonly [string | undefined, string])[] = [
     ['Bearer desk-secret', 'desk'],
@@ -33,8 +33,8 @@
   }
 })
 
-describe('senders without tokens', () => {
-  it('believes the header where the role has no tokens', () => {
+describe('createAuthenticator without tokens', () => {
+  it('trusts the header if the role has no tokens', () => {
     const callerTokens = tokens.filter(({ role }) => role === AccessRole.Caller)
     const auth = createAuthenticator(AccessRole.Operator, callerTokens)
     const headers = { 'cherryhitch-operator': 't.sato@example.org' }
@@ -44,7 +44,7 @@
     assert.ok(auth.identify({ 'cherryhitch-operator': 'two words' }).err)
   })
 
-  it('lets endpoints in, as heartbeats name them', () => {
+  it('accepts endpoints, since heartbeats name them', () => {
     assert.equal(createAuthenticator(AccessRole.Endpoint, []).identify({}).unwrap(), '')
   })
 })
--- a/packages/http-api/src/lib/auth/createAuthenticator.ts
+++ b/packages/http-api/src/lib/auth/createAuthenticator.ts
@@ -7,15 +7,15 @@
 import { OpenAuthenticator } from './OpenAuthenticator'
 import { isOperatorName } from './isOperatorName'
 
-/** Names the caller when no caller tokens are set. @public */
+/** Header that names the caller if no caller tokens are configured. @public */
 export const CALLER_HEADER = 'Cherryhitch-Caller'
-/** Names the operator when no operator tokens are set. @public */
+/** Header that names the operator if no operator tokens are configured. @public */
 export const OPERATOR_HEADER = 'Cherryhitch-Operator'
 
 /**
- * Tokens where the settings have some for the role; else the header, and for endpoints
- * nothing, because a heartbeat names its endpoint itself. Without tokens operators may read
- * without a name; changes ask for it, as the record keeps it.
+ * Authenticates by token if any are configured for the role, else by header. Endpoints need
+ * neither without tokens, because a heartbeat names its endpoint. Without tokens operators may
+ * read anonymously, but changes require a name for the audit record.
  *
  * @public
  */
--- a/packages/http-api/src/lib/callers/answerReply.test.ts
+++ b/packages/http-api/src/lib/callers/answerReply.test.ts
@@ -34,14 +34,14 @@
     [Reason.KEY_REUSED, 422, false],
     [Reason.PRESET_LIMIT, 503, true],
   ]
-  for (const [reason, status, advised] of statuses) {
-    const word = Reason[reason].toLowerCase()
-    it(`maps ${word} to status ${status}${advised ? ' with Retry-After' : ''}`, () => {
+  for (const [reason, status, mayRetry] of statuses) {
+    const name = Reason[reason].toLowerCase()
+    it(`gives ${name} the status ${status}${mayRetry ? ' with Retry-After' : ''}`, () => {
       const { reply, problem } = problemFor(reason, Outcome.NOT_RUN)
       assert.equal(reply.status, status)
-      assert.equal(problem.reason, word)
-      assert.equal(problem.type, `urn:cherryhitch:problem:${word.replaceAll('_', '-')}`)
-      assert.equal(reply.headers?.['Retry-After'] !== undefined, advised)
+      assert.equal(problem.reason, name)
+      assert.equal(problem.type, `urn:cherryhitch:problem:${name.replaceAll('_', '-')}`)
+      assert.equal(reply.headers?.['Retry-After'] !== undefined, mayRetry)
     })
   }
 
@@ -71,7 +71,7 @@
   })
 
   for (const output of ['{}', '[]', '""', '-1.5e3', '0', 'true', 'false', 'null']) {
-    it(`accepts the output ${output}`, () => {
+    it(`passes ${output} on`, () => {
       assert.equal(answerReply(succeeded([output])).status, 200)
     })
   }
--- a/packages/http-api/src/lib/endpoints/heartbeat.test.ts
+++ b/packages/http-api/src/lib/endpoints/heartbeat.test.ts
@@ -20,7 +20,7 @@
 }
 
 describe('a heartbeat', () => {
-  it('is passed on, and answered with the owner', async (t) => {
+  it('is passed to the service and answered with the owner', async (t) => {
     const { server, service } = await openEndpointServer(t)
     const answer = await send(server.port, path, { method: 'POST', body })
     assert.deepEqual(JSON.parse(answer.text), {
@@ -35,7 +35,7 @@
     assert.equal(heard.state, EndpointState.SERVING)
   })
 
-  it('may say that the endpoint leaves, and more than is known here', async (t) => {
+  it('can announce that the endpoint is leaving, and may have unknown members', async (t) => {
     const { server, service } = await openEndpointServer(t)
     const leaving = { ...body, state: 'leaving', address: '[::1]:9001', later: true }
     await send(server.port, path, { method: 'POST', body: leaving })
@@ -66,7 +66,7 @@
     })
   }
 
-  it('is refused under a name that is none, or without the token', async (t) => {
+  it('is refused with an invalid endpoint name or without the token', async (t) => {
     const open = await openEndpointServer(t)
     const badName = await send(open.server.port, '/v1/endpoints/a.b/heartbeat', {
       method: 'POST',
--- a/packages/http-api/src/lib/endpoints/heartbeat.ts
+++ b/packages/http-api/src/lib/endpoints/heartbeat.ts
@@ -16,7 +16,7 @@
 
 /** Handles `POST /v1/endpoints/{id}/heartbeat`. @internal */
 export function heartbeat(endpoints: EndpointService, limits: HttpLimits): Handler {
-  // Endpoints are released on their own; a newer one may say more than is known here.
+  // Endpoints are released independently; a newer one may send members unknown to this version.
   const decode = bodyDecoder(heartbeatBodySchema, limits.nestingDepth, ExtraMembers.Ignore)
   return (req) => {
     const endpoint = req.params.id ?? ''
--- a/packages/http-api/src/lib/endpoints/heartbeatBody.ts
+++ b/packages/http-api/src/lib/endpoints/heartbeatBody.ts
@@ -3,7 +3,7 @@
 import { Schema } from 'effect'
 import { countSchema, nameSchema, resourceSchema } from '../exchange/schemas'
 
-/** Most slots or connections that an endpoint may announce. */
+/** Maximum of slots, connections or running tasks that an endpoint may announce. */
 const MAX_SLOTS = 10_000
 const MAX_PORT = 65_535
 const addressPattern = /^(?:\[(?<v6>[^\]]+)\]|(?<v4>[\d.]+)):(?<port>\d{1,5})$/
@@ -41,7 +41,7 @@
   state: Schema.Literals(['serving', 'leaving']),
 })
 
-/** Workers talk by IP numbers, so a host name is refused. */
+/** Refuses host names, since workers are addressed by IP address. */
 function isAddress(text: string): boolean {
   const parts = addressPattern.exec(text)?.groups
   const port = Number(parts?.port ?? 0)
--- a/packages/http-api/src/lib/endpoints/startEndpointServer.ts
+++ b/packages/http-api/src/lib/endpoints/startEndpointServer.ts
@@ -19,7 +19,7 @@
   readonly health: HealthSource
 }
 
-/** Starts the interface for endpoints; `docs/openapi/endpoints.yaml` describes it. @public */
+/** Starts the HTTP API for endpoints, specified in `docs/openapi/endpoints.yaml`. @public */
 export function startEndpointServer(
   options: EndpointServerOptions,
 ): Effect.Effect<HttpServer, HttpServerError, Scope.Scope> {
--- a/packages/http-api/src/lib/exchange/parseJson.test.ts
+++ b/packages/http-api/src/lib/exchange/parseJson.test.ts
@@ -46,7 +46,7 @@
     ['NaN', 'The body is not JSON'],
   ]
   for (const [json, fault] of cases) {
-    it(`${fault === '' ? 'accepts' : 'refuses'} ${json.slice(0, 40)}`, () => {
+    it(`${fault === '' ? 'takes' : 'refuses'} ${json.slice(0, 40)}`, () => {
       const result = parseJson(json, MAX_DEPTH)
       const message = result.err ? result.val.message : ''
       if (fault === '') assert.equal(message, '')
--- a/packages/http-api/src/lib/health/HealthSource.ts
+++ b/packages/http-api/src/lib/health/HealthSource.ts
@@ -1,7 +1,7 @@
-/** Answers the platform's probes. @public */
+/** State reported to liveness and readiness probes. @public */
 export interface HealthSource {
-  /** False: restart the process. */
+  /** False if the process should be restarted. */
   isAlive(): boolean
-  /** False: send no new requests here. */
+  /** False if the instance should receive no new requests. */
   isReady(): boolean
 }
--- a/packages/http-api/src/lib/health/healthRoutes.ts
+++ b/packages/http-api/src/lib/health/healthRoutes.ts
@@ -8,7 +8,7 @@
 const OK = 200
 const UNAVAILABLE = 503
 
-/** The probes' two routes; they need no token. @public */
+/** Routes of the liveness and readiness probes; they need no token. @public */
 export function healthRoutes(health: HealthSource): readonly Route[] {
   return [probe('healthz', () => health.isAlive()), probe('readyz', () => health.isReady())]
 }
--- a/packages/http-api/src/lib/measure/measureSteps.ts
+++ b/packages/http-api/src/lib/measure/measureSteps.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the steps that `POST /v1/jobs` is made of, without any network.
+ * Benchmarks the individual steps of `POST /v1/jobs`, without network I/O.
  *
  * Run: npx tsx packages/http-api/src/lib/measure/measureSteps.ts
  */
@@ -14,7 +14,7 @@
 import { defaultHttpLimits } from '../server/HttpServerOptions'
 
 const TASKS = [1, 100]
-const TURNS = 40_000
+const ITERATIONS = 40_000
 const ROUNDS = 5
 const MICROS = 1000
 const note = 'x'.repeat(120)
@@ -26,13 +26,13 @@
   waitedMs: 0,
 }
 
-/** Shortest mean of several rounds, as other work on the machine only ever adds. */
-function measure(turns: number, step: () => unknown): number {
+/** Lowest mean of several rounds, since other load on the machine only adds time. */
+function measure(iterations: number, step: () => unknown): number {
   let best = Infinity
   for (let round = 0; round < ROUNDS; round++) {
     const startedAt = performance.now()
-    for (let i = 0; i < turns; i++) step()
-    best = Math.min(best, ((performance.now() - startedAt) / turns) * MICROS)
+    for (let i = 0; i < iterations; i++) step()
+    best = Math.min(best, ((performance.now() - startedAt) / iterations) * MICROS)
   }
   return best
 }
@@ -56,6 +56,6 @@
       answer.outputs.map((output) => JSON.parse(output) as unknown),
   }
   for (const [name, step] of Object.entries(steps)) {
-    console.log(`${tasks} tasks, ${name}: ${measure(TURNS / tasks, step).toFixed(1)} µs`)
+    console.log(`${tasks} tasks, ${name}: ${measure(ITERATIONS / tasks, step).toFixed(1)} µs`)
   }
 }
--- a/packages/http-api/src/lib/measure/measureSubmit.ts
+++ b/packages/http-api/src/lib/measure/measureSubmit.ts
@@ -1,7 +1,7 @@
 /**
- * Measures `POST /v1/jobs` with a service that answers at once, beside a bare Node server that
- * reads the same body and sends the same answer. The clients run in a thread of their own, so
- * that the busy time of the main thread is the server's alone.
+ * Benchmarks `POST /v1/jobs` with a service that answers immediately, against a plain Node server
+ * that reads the same body and sends a response of similar size. The clients run in a separate
+ * thread, so that the busy time of the main thread is that of the server only.
  *
  * Run: npx tsx packages/http-api/src/lib/measure/measureSubmit.ts [budget of a turn in ms]
  */
@@ -43,7 +43,7 @@
   return JSON.stringify({ idempotent: true, deadlineMs: 2000, tasks: list })
 }
 
-/** Sends one request; resolves with whether it was answered 200. */
+/** Sends one request; resolves to whether the status was 200. */
 function post(agent: http.Agent, { port, body }: LoadPlan): Promise<boolean> {
   return new Promise((resolve) => {
     const headers = {
@@ -86,7 +86,7 @@
 }
 
 function runInThread(plan: LoadPlan): Promise<LoadResult> {
-  // A worker does not inherit the loader for TypeScript.
+  // Worker threads do not inherit the TypeScript loader.
   const start = `import('tsx/esm/api').then((tsx) => { tsx.register(); return import('${import.meta.url}') })`
   const worker = new Worker(start, { workerData: plan, eval: true })
   return new Promise((resolve, reject) => {
@@ -125,7 +125,7 @@
   })
 }
 
-/** Budget of a turn in milliseconds; endless is how the server was before it had one. */
+/** Budget of a turn in milliseconds; `Infinity` disables it for comparison. */
 function readBudget(): number {
   const text = process.argv[2]
   return text === undefined ? defaultHttpLimits.turnBudgetMs : Number(text)
--- a/packages/http-api/src/lib/operators/changeBodies.ts
+++ b/packages/http-api/src/lib/operators/changeBodies.ts
@@ -12,32 +12,32 @@
 const MAX_SPILL_MARGIN_MS = 60_000
 const MAX_OWNER_SHARDS = 64
 
-/** Words of the queue orders in bodies. @internal */
+/** Names of the queue orders in request bodies. @internal */
 export const queueOrders = {
   fifo: QueueOrder.FIFO,
   deadline_fair: QueueOrder.DEADLINE_FAIR,
 } as const
 
-/** Words of the placement rules in bodies. @internal */
+/** Names of the placement rules in request bodies. @internal */
 export const placementRules = {
   random: PlacementRule.RANDOM,
   spread_fast: PlacementRule.SPREAD_FAST,
 } as const
 
-/** Words of the health rules in bodies. @internal */
+/** Names of the health rules in request bodies. @internal */
 export const healthRules = {
   none: HealthRule.NONE,
   consecutive: HealthRule.CONSECUTIVE,
   decayed_score: HealthRule.DECAYED_SCORE,
 } as const
 
-/** Words of the admission rules in bodies. @internal */
+/** Names of the admission rules in request bodies. @internal */
 export const admissionRules = {
   queue_limit: AdmissionRule.QUEUE_LIMIT,
   predicted_finish: AdmissionRule.PREDICTED_FINISH,
 } as const
 
-/** Words of the changes of voters in bodies. @internal */
+/** Names of the voter changes in request bodies. @internal */
 export const voterChanges = {
   add_learner: VoterChangeKind.ADD_LEARNER,
   promote: VoterChangeKind.PROMOTE,
--- a/packages/http-api/src/lib/operators/changeRoutes.ts
+++ b/packages/http-api/src/lib/operators/changeRoutes.ts
@@ -19,13 +19,13 @@
 
 type CommandReader = (req: ApiRequest) => Result<Command, RequestError>
 
-/** Routes by which operators change what is in force. @internal */
+/** Routes by which operators change presets and voters. @internal */
 export function changeRoutes(operators: OperatorService, limits: HttpLimits): readonly Route[] {
   const depth = limits.nestingDepth
   const setPreset = bodyDecoder(setPresetSchema, depth)
   const definePreset = bodyDecoder(definePresetSchema, depth)
   const changeVoters = bodyDecoder(changeVotersSchema, depth)
-  const propose = proposal(operators)
+  const propose = proposalHandler(operators)
   return [
     change(
       Method.Put,
@@ -55,7 +55,7 @@
   return { method, path, takesBody: true, handle }
 }
 
-function proposal(operators: OperatorService): (read: CommandReader) => Handler {
+function proposalHandler(operators: OperatorService): (read: CommandReader) => Handler {
   return (read) => (req) => {
     if (req.sender === '') return Effect.fail(missingName(OPERATOR_HEADER))
     const command = read(req)
--- a/packages/http-api/src/lib/operators/commandReply.ts
+++ b/packages/http-api/src/lib/operators/commandReply.ts
@@ -13,13 +13,13 @@
 const GATEWAY_TIMEOUT = 504
 const RETRY_AFTER_MS = 1000
 
-/** Problem document of a change; `version` is the newest that the log knows. @internal */
+/** Problem document of a change; `version` is the newest in the log. @internal */
 interface CommandProblem extends Problem {
   readonly commandId: string
   readonly version: number
 }
 
-/** The reply to a proposed change. @internal */
+/** Builds the response to a proposed change. @internal */
 export function commandReply(answer: CommandAnswer): Reply {
   switch (answer.result) {
     case CommandResult.APPLIED:
@@ -42,15 +42,15 @@
   return jsonReply(OK, { commandId, result: 'applied', version, detail })
 }
 
-function refusedReply(answer: CommandAnswer, status: number, word: string, title: string): Reply {
-  return problemReply(commandProblem(answer, { status, word, title, ran: ProblemRan.No }))
+function refusedReply(answer: CommandAnswer, status: number, name: string, title: string): Reply {
+  return problemReply(commandProblem(answer, { status, name, title, ran: ProblemRan.No }))
 }
 
 function unavailableReply(answer: CommandAnswer): Reply {
   const title = 'The voters can not be reached; nothing was changed.'
   const problem = commandProblem(answer, {
     status: UNAVAILABLE,
-    word: 'no-quorum',
+    name: 'no-quorum',
     title,
     ran: ProblemRan.No,
   })
@@ -64,22 +64,22 @@
   const title = 'Whether the change was committed is not known.'
   const problem = commandProblem(answer, {
     status: GATEWAY_TIMEOUT,
-    word: 'change-unknown',
+    name: 'change-unknown',
     title,
     ran: ProblemRan.Unknown,
   })
   return problemReply({ ...problem, detail })
 }
 
-interface Verdict {
+interface ProblemFields {
   readonly status: number
-  readonly word: string
+  readonly name: string
   readonly title: string
   readonly ran: ProblemRan
 }
 
-function commandProblem(answer: CommandAnswer, verdict: Verdict): CommandProblem {
+function commandProblem(answer: CommandAnswer, fields: ProblemFields): CommandProblem {
   const { commandId, version, detail } = answer
-  const { status, word, title, ran } = verdict
-  return { type: problemType(word), title, status, detail, ran, commandId, version }
+  const { status, name, title, ran } = fields
+  return { type: problemType(name), title, status, detail, ran, commandId, version }
 }
--- a/packages/http-api/src/lib/operators/createCommand.ts
+++ b/packages/http-api/src/lib/operators/createCommand.ts
@@ -16,10 +16,10 @@
   voterChanges,
 } from './changeBodies'
 
-/** Who proposes a change, and when; the record keeps both. @internal */
+/** Who proposes a change, and when; both are kept in the audit record. @internal */
 export interface Proposer {
   readonly operator: string
-  /** Milliseconds since the epoch, for readers of the record only. */
+  /** Milliseconds since the epoch, only informative in the audit record. */
   readonly now: number
 }
 
@@ -27,14 +27,14 @@
 type DefinePresetBody = (typeof definePresetSchema)['Type']
 type ChangeVotersBody = (typeof changeVotersSchema)['Type']
 
-/** Makes the command that puts a preset in force. @internal */
+/** Creates the command that activates a preset. @internal */
 export function createSetPreset(body: SetPresetBody, { operator, now }: Proposer): Command {
   const { commandId, name, fromVersion, reason } = body
   const value = create(SetPresetSchema, { name, fromVersion, operator, reason, atMs: now })
   return create(CommandSchema, { commandId, change: { case: 'setPreset', value } })
 }
 
-/** Makes the command that defines a preset, without putting it in force. @internal */
+/** Creates the command that defines a preset without activating it. @internal */
 export function createDefinePreset(
   name: string,
   body: DefinePresetBody,
@@ -59,7 +59,7 @@
   return create(CommandSchema, { commandId, change: { case: 'definePreset', value } })
 }
 
-/** Makes the command that changes the set of voters. @internal */
+/** Creates the command that changes the set of voters. @internal */
 export function createChangeVoters(body: ChangeVotersBody, { operator, now }: Proposer): Command {
   const { commandId, instance, diskId, reason } = body
   const kind = voterChanges[body.kind]
--- a/packages/http-api/src/lib/operators/metricsRoute.ts
+++ b/packages/http-api/src/lib/operators/metricsRoute.ts
@@ -10,7 +10,7 @@
   readonly body: string
 }
 
-/** The route that a metrics collector reads; it needs no token. @public */
+/** Route for metrics scrapers; it needs no token. @public */
 export function metricsRoute(metrics: () => Promise<MetricsText>): Route {
   const handle = () => Effect.map(Effect.promise(metrics), (text) => ({ status: OK, ...text }))
   return { method: Method.Get, path: 'metrics', takesBody: false, open: true, handle }
--- a/packages/http-api/src/lib/operators/readRoutes.ts
+++ b/packages/http-api/src/lib/operators/readRoutes.ts
@@ -19,7 +19,7 @@
 const MAX_AUDIT_LIMIT = 1000
 const countPattern = /^\d{1,15}$/
 
-/** Routes by which operators read. @internal */
+/** Read-only routes for operators. @internal */
 export function readRoutes(operators: OperatorService): readonly Route[] {
   return [
     get('v1/instances', (req) =>
--- a/packages/http-api/src/lib/operators/startOperatorServer.test.ts
+++ b/packages/http-api/src/lib/operators/startOperatorServer.test.ts
@@ -23,7 +23,7 @@
 }
 
 describe('a change by an operator', () => {
-  it('goes to the log with who, why and from which version', async (t) => {
+  it('is proposed with its operator, reason and base version', async (t) => {
     const { server, service } = await openOperatorServer(t)
     const request = { method: 'PUT', headers, body: setPreset }
     const answer = await send(server.port, '/v1/preset', request)
@@ -60,7 +60,7 @@
     assert.equal(proposed.value.operator, 'tanaka')
   })
 
-  it('is refused without a name for the record, though reading needs none', async (t) => {
+  it('is refused without an operator name, though reading needs none', async (t) => {
     const { server, service } = await openOperatorServer(t)
     const answer = await send(server.port, '/v1/preset', { method: 'PUT', body: setPreset })
     assert.equal(answer.status, 400)
@@ -69,7 +69,7 @@
     assert.equal((await send(server.port, '/v1/settings')).status, 200)
   })
 
-  it('may define a preset', async (t) => {
+  it('can define a preset', async (t) => {
     const { server, service } = await openOperatorServer(t)
     const body = { ...change, definition }
     await send(server.port, '/v1/presets/peak', { method: 'PUT', headers, body })
@@ -82,7 +82,7 @@
     assert.equal(defined.retryBudget, 0.1)
   })
 
-  it('may change the voters', async (t) => {
+  it('can change the voters', async (t) => {
     const { server, service } = await openOperatorServer(t)
     const { reason, commandId } = change
     const body = { kind: 'promote', instance: 'entry-2', diskId: 'd-9', reason, commandId }
@@ -101,7 +101,7 @@
     { result: CommandResult.UNSPECIFIED, status: 504, ran: 'unknown', says: /same command id/ },
   ]
   for (const { result, status, ran, says } of results) {
-    it(`is answered ${status} when it ends ${CommandResult[result]}`, async (t) => {
+    it(`is answered ${status} for the result ${CommandResult[result]}`, async (t) => {
       const { server, service } = await openOperatorServer(t)
       service.answer = { result, version: 9, detail: 'Version 9 was won by tanaka.' }
       const request = { method: 'PUT', headers, body: setPreset }
@@ -137,7 +137,7 @@
     ['POST', '/v1/voters', { kind: 'sack' }, /^\/kind: /],
   ]
   for (const [method, path, body, detail] of faults) {
-    it(`is refused where ${detail.source} is wrong in ${JSON.stringify(body).slice(0, 40)}`, async (t) => {
+    it(`is refused with ${detail.source} for ${JSON.stringify(body).slice(0, 40)}`, async (t) => {
       const { server, service } = await openOperatorServer(t)
       const answer = await send(server.port, path, { method, headers, body })
       assert.equal(answer.status, 400)
@@ -147,7 +147,7 @@
   }
 })
 
-describe('what an operator reads', () => {
+describe('the read routes for operators', () => {
   const reads: readonly (readonly [string, number, RegExp])[] = [
     ['/v1/instances', 200, /^\{"instances":\[\]\}$/],
     ['/v1/endpoints', 200, /^\{"endpoints":\[\]\}$/],
@@ -158,7 +158,7 @@
     ['/metrics', 200, /^up 1$/m],
   ]
   for (const [path, status, says] of reads) {
-    it(`is at ${path}`, async (t) => {
+    it(`serve ${path}`, async (t) => {
       const { server } = await openOperatorServer(t)
       const answer = await send(server.port, path, { headers })
       assert.equal(answer.status, status)
@@ -166,12 +166,12 @@
     })
   }
 
-  it('shows no outputs, which are between the caller and its service', async (t) => {
+  it('omit job outputs, which are private to the caller', async (t) => {
     const { server } = await openOperatorServer(t)
     assert.doesNotMatch((await send(server.port, '/v1/jobs', { headers })).text, /secret/)
   })
 
-  it('pages through the record within bounds', async (t) => {
+  it('validate and cap the paging of the audit record', async (t) => {
     const { server, service } = await openOperatorServer(t)
     await send(server.port, '/v1/audit?from=40&limit=9999', { headers })
     assert.deepEqual(service.auditReads, [{ from: 40, limit: 1000 }])
--- a/packages/http-api/src/lib/operators/startOperatorServer.ts
+++ b/packages/http-api/src/lib/operators/startOperatorServer.ts
@@ -21,7 +21,7 @@
   readonly health: HealthSource
 }
 
-/** Starts the interface for operators; `docs/openapi/operators.yaml` describes it. @public */
+/** Starts the HTTP API for operators, specified in `docs/openapi/operators.yaml`. @public */
 export function startOperatorServer(
   options: OperatorServerOptions,
 ): Effect.Effect<HttpServer, HttpServerError, Scope.Scope> {
--- a/packages/http-api/src/lib/operators/views.ts
+++ b/packages/http-api/src/lib/operators/views.ts
@@ -23,12 +23,12 @@
 import type { AuditPage, EndpointStatus, SettingsStatus } from '../services/OperatorService'
 
 /**
- * What operators read, as plain objects: the words of the messages' enums in lower case, and
- * none of the messages' own bookkeeping.
+ * Converts messages to plain objects for operators, with enum values as lower-case names and
+ * without protobuf metadata.
  */
 
-/** A copy of a message without the name of its type. */
-function plain<T extends Message>(message: T): Omit<T, '$typeName'> {
+/** Copies a message without its `$typeName`. */
+function withoutTypeName<T extends Message>(message: T): Omit<T, '$typeName'> {
   const copy: Omit<T, '$typeName'> = { ...message }
   Reflect.deleteProperty(copy, '$typeName')
   return copy
@@ -46,7 +46,7 @@
 }
 
 function viewService(summary: ServiceSummary) {
-  return { ...plain(summary), largest: viewResources(summary.largest) }
+  return { ...withoutTypeName(summary), largest: viewResources(summary.largest) }
 }
 
 function viewResources(resources: Resources | undefined) {
@@ -58,7 +58,7 @@
 export function viewEndpoint({ announcement, ...status }: EndpointStatus) {
   const { state, capacity, usage } = announcement
   return {
-    ...plain(announcement),
+    ...withoutTypeName(announcement),
     state: EndpointState[state].toLowerCase(),
     capacity: viewResources(capacity),
     usage: viewResources(usage),
@@ -66,7 +66,7 @@
   }
 }
 
-/** A job without its outputs, which are the caller's business alone. @internal */
+/** A job without its outputs, which are private to the caller. @internal */
 export function viewJob(answer: JobAnswer) {
   const { jobId, state, outcome, reason, detail, tasks, tasksEnded } = answer
   const { settingsVersion, settingsCurrent } = answer
@@ -91,7 +91,7 @@
 
 function viewPreset(definition: PresetDefinition) {
   return {
-    ...plain(definition),
+    ...withoutTypeName(definition),
     queueOrder: QueueOrder[definition.queueOrder].toLowerCase(),
     placementRule: PlacementRule[definition.placementRule].toLowerCase(),
     healthRule: HealthRule[definition.healthRule].toLowerCase(),
@@ -104,13 +104,16 @@
   return { current, records: records.map(viewAuditRecord) }
 }
 
-/** The time is written out as well, since people read the record. */
+/** Adds the time in ISO 8601 for human readers. */
 function viewAuditRecord(record: AuditRecord) {
   const kind = AuditKind[record.kind].toLowerCase()
-  return { ...plain(record), kind, at: new Date(record.atMs).toISOString() }
+  return { ...withoutTypeName(record), kind, at: new Date(record.atMs).toISOString() }
 }
 
 /** @internal */
 export function viewVoters(status: VotersStatus) {
-  return { ...plain(status), members: status.members.map((member) => plain(member)) }
+  return {
+    ...withoutTypeName(status),
+    members: status.members.map((member) => withoutTypeName(member)),
+  }
 }
--- a/packages/http-api/src/lib/pages/pages.test.ts
+++ b/packages/http-api/src/lib/pages/pages.test.ts
@@ -22,7 +22,7 @@
   readonly body?: string
 }
 
-/** The curl commands of a page, as requests. */
+/** Parses the curl commands of a documentation page into requests. */
 function readExamples(page: string, server: string): readonly Example[] {
   const blocks = [...page.matchAll(/```sh\n([\s\S]*?)```/g)].map((match) => match[1] ?? '')
   return blocks
@@ -39,7 +39,7 @@
     })
 }
 
-/** Paths of an OpenAPI page with the methods of each. */
+/** Parses the paths of an OpenAPI document and the methods of each. */
 function readOperations(page: string): ReadonlyMap<string, readonly string[]> {
   const operations = new Map<string, string[]>()
   let current: string[] = []
@@ -53,17 +53,17 @@
   return operations
 }
 
-describe('the page for callers', () => {
+describe('the documentation for callers', () => {
   for (const reason of Object.values(Reason).filter((value) => typeof value === 'number')) {
-    const word = reasonName(reason)
-    it(`explains ${word} with its status`, () => {
+    const name = reasonName(reason)
+    it(`explains ${name} with its status`, () => {
       const { status } = reasonTable[reason]
       if (reason === Reason.UNSPECIFIED) {
-        assert.ok(callersPage.includes(`\`${word}\` with status ${status}`))
+        assert.ok(callersPage.includes(`\`${name}\` with status ${status}`))
       } else {
-        assert.match(callersPage, new RegExp(`^\\| \`${word}\` +\\| ${status} +\\| .{20,}`, 'm'))
+        assert.match(callersPage, new RegExp(`^\\| \`${name}\` +\\| ${status} +\\| .{20,}`, 'm'))
       }
-      assert.match(callersApi, new RegExp(`^ +- ${word}$`, 'm'))
+      assert.match(callersApi, new RegExp(`^ +- ${name}$`, 'm'))
       assert.ok(callersApi.includes(`'${status}': {`))
     })
   }
@@ -75,7 +75,7 @@
     })
   }
 
-  it('states the limits that are set', () => {
+  it('states the default limits', () => {
     const { bodyBytes, headerBytes, tasksPerJob, defaultDeadlineMs, maxDeadlineMs } =
       defaultHttpLimits
     for (const limit of [bodyBytes, headerBytes, tasksPerJob, defaultDeadlineMs, maxDeadlineMs]) {
@@ -105,16 +105,16 @@
   }
 })
 
-describe('the page for endpoints', () => {
+describe('the documentation for endpoints', () => {
   const page = read('endpoints.md')
-  it('has a heartbeat that is taken', async (t) => {
+  it('has a heartbeat example that is accepted', async (t) => {
     const { server } = await openEndpointServer(t)
     const [example] = readExamples(page, '$INSTANCE')
     assert.ok(example !== undefined)
     assert.equal((await send(server.port, example.path, example)).status, 200)
   })
 
-  it('shows every operation of an endpoint that its OpenAPI page has', () => {
+  it('has an example of every operation in the OpenAPI document', () => {
     const operations = readOperations(read('openapi/endpoints.yaml'))
     const shown = readExamples(page, '$ENDPOINT').map(({ method, path: target, body }) => {
       if (body !== undefined) JSON.parse(body)
@@ -128,7 +128,7 @@
   })
 })
 
-describe('the OpenAPI pages', () => {
+describe('the OpenAPI documents', () => {
   const servers = [
     { name: 'callers', open: openCallerServer },
     { name: 'operators', open: openOperatorServer },
--- a/packages/http-api/src/lib/problems/RequestError.ts
+++ b/packages/http-api/src/lib/problems/RequestError.ts
@@ -1,4 +1,4 @@
-/** Why a request was refused before any service was called, or what it failed with. @public */
+/** Why a request was refused before any service was called, or why its handler failed. @public */
 export enum RequestErrorKind {
   Malformed = 'malformed',
   Unauthenticated = 'unauthenticated',
@@ -13,7 +13,7 @@
   Overloaded = 'overloaded',
 }
 
-/** A refusal that is made before any service is called: nothing ran. @public */
+/** Refuses a request before any service is called, so nothing has run. @public */
 export class RequestError extends Error {
   override readonly name = 'RequestError'
 
--- a/packages/http-api/src/lib/problems/problemReply.ts
+++ b/packages/http-api/src/lib/problems/problemReply.ts
@@ -6,12 +6,12 @@
 const TYPE_PREFIX = 'urn:cherryhitch:problem:'
 const MS_PER_SECOND = 1000
 
-/** URI that names a kind of problem, from its word in the tables. @internal */
-export function problemType(word: string): string {
-  return TYPE_PREFIX + word.replaceAll('_', '-')
+/** Returns the problem type URI for a reason or refusal name. @internal */
+export function problemType(name: string): string {
+  return TYPE_PREFIX + name.replaceAll('_', '-')
 }
 
-/** Makes a reply of a problem document. @internal */
+/** Creates a response with a problem document. @internal */
 export function problemReply(
   problem: Problem,
   headers: Readonly<Record<string, string>> = {},
@@ -21,8 +21,8 @@
 }
 
 /**
- * The `Retry-After` header for a wait. The header knows whole seconds only, so it is rounded
- * up; the member `retryAfter` of the document keeps the milliseconds.
+ * The `Retry-After` header for a delay, rounded up because the header allows only whole seconds.
+ * The member `retryAfter` of the document keeps the milliseconds.
  *
  * @internal
  */
@@ -30,12 +30,12 @@
   return { 'Retry-After': String(Math.max(1, Math.ceil(waitMs / MS_PER_SECOND))) }
 }
 
-/** The member `retryAfter`, in seconds. @internal */
+/** Value of the member `retryAfter`, in seconds. @internal */
 export function retryAfterSeconds(waitMs: number): number {
   return Math.ceil(waitMs) / MS_PER_SECOND
 }
 
-/** What is said when a service broke down: its work may have been under way. @internal */
+/** Response to an unexpected error; the work may already have started. @internal */
 export function defectReply(): Reply {
   return problemReply({
     type: problemType('internal-error'),
--- a/packages/http-api/src/lib/problems/reasonTable.ts
+++ b/packages/http-api/src/lib/problems/reasonTable.ts
@@ -1,16 +1,16 @@
 import { Reason } from '@cherryhitch/protocol'
 
-/** How a reason appears towards callers. @internal */
+/** HTTP status and title shown to callers for a reason. @internal */
 export interface ReasonEntry {
   readonly status: number
   readonly title: string
 }
 
 /**
- * Status and title of each reason; the one place where they are settled.
+ * Status and title of each reason; the only definition of both.
  *
- * 4xx: the caller has to change something, or asked for it. 502: a part behind the instance
- * was lost or failed. 503: sending the same later can help. 504: time ran out.
+ * 4xx: the caller has to change the request, or caused the result. 502: a component behind the
+ * instance was lost or failed. 503: a later retry can succeed. 504: the deadline passed.
  *
  * @internal
  */
--- a/packages/http-api/src/lib/problems/requestErrorReply.ts
+++ b/packages/http-api/src/lib/problems/requestErrorReply.ts
@@ -10,7 +10,7 @@
   readonly title: string
 }
 
-/** Status and title of each refusal that the HTTP layer makes itself. @internal */
+/** Status and title of each refusal by the HTTP layer. @internal */
 export const refusals: Readonly<Record<RequestErrorKind, RefusalEntry>> = {
   [RequestErrorKind.Malformed]: { status: 400, title: 'The request is malformed.' },
   [RequestErrorKind.Unauthenticated]: { status: 401, title: 'No valid token was given.' },
@@ -31,7 +31,7 @@
   [RequestErrorKind.Overloaded]: { status: 503, title: 'The instance is overloaded.' },
 }
 
-/** Problem document of a refusal; it says `ran: no`, as no service was called. @internal */
+/** Response to a refusal, with `ran: no` because no service was called. @internal */
 export function requestErrorProblem(err: RequestError): Problem {
   const { status, title } = refusals[err.kind]
   const detail = err.message
--- a/packages/http-api/src/lib/routing/Router.test.ts
+++ b/packages/http-api/src/lib/routing/Router.test.ts
@@ -11,7 +11,7 @@
   { method: Method.Delete, path: 'v1/jobs/{id}', takesBody: false, handle },
 ])
 
-describe('the router', () => {
+describe('Router', () => {
   const found: readonly (readonly [string, string, string])[] = [
     ['POST', '/v1/jobs', ''],
     ['GET', '/v1/jobs/a.b.1', 'a.b.1'],
@@ -24,7 +24,7 @@
     })
   }
 
-  it('hands the rest of a path over as it stands after its fixed start', () => {
+  it('passes the rest of a path after its fixed prefix as one parameter', () => {
     const open = new Router([{ method: Method.Get, path: 'a/{rest...}', takesBody: false, handle }])
     assert.equal(open.find('GET', '/a/b/c').unwrap().params.rest, 'b/c')
     assert.equal(open.find('GET', '/a/').unwrap().params.rest, '')
--- a/packages/http-api/src/lib/routing/Router.ts
+++ b/packages/http-api/src/lib/routing/Router.ts
@@ -13,20 +13,20 @@
   Delete = 'DELETE',
 }
 
-/** Handles one request whose sender is known and whose body is there. @public */
+/** Handles one authenticated request with its complete body. @public */
 export type Handler = (req: ApiRequest) => Effect.Effect<Reply, RequestError>
 
 /** @public */
 export interface Route {
   readonly method: Method
   /**
-   * Segments after the leading slash; `{name}` matches any one segment that is not empty, and
-   * `{name...}` at the end all that follow, which may be none.
+   * Segments after the leading slash; `{name}` matches one non-empty segment, and `{name...}` at
+   * the end matches all remaining segments, if any.
    */
   readonly path: string
-  /** Whether it has a JSON body. */
+  /** Whether requests have a JSON body. */
   readonly takesBody: boolean
-  /** Whether it answers without a token. */
+  /** Whether requests need no authentication. */
   readonly open?: boolean
   readonly handle: Handler
 }
@@ -89,7 +89,7 @@
   }
 }
 
-/** A HEAD is served as a GET; Node leaves the body out. */
+/** HEAD is handled as GET; Node omits the body. */
 function accepts(route: Route, method: string): boolean {
   const wanted = method === 'HEAD' ? 'GET' : method
   return wanted === (route.method as string)
--- a/packages/http-api/src/lib/server/ConnectionTable.ts
+++ b/packages/http-api/src/lib/server/ConnectionTable.ts
@@ -4,19 +4,19 @@
 
 /** Open connections and the exchanges in progress on each. @internal */
 export class ConnectionTable {
-  /** TCP sockets; below TLS they are others than those that requests come by. */
+  /** TCP sockets; with TLS these are not the sockets on which requests arrive. */
   private readonly sockets = new Set<Socket>()
   private readonly exchanges = new Map<Duplex, Set<Exchange>>()
   private inProgress = 0
   private readonly idleWaiters = new Set<() => void>()
 
-  /** Follows a TCP connection until it closes. */
+  /** Tracks a TCP connection until it closes. */
   accept(socket: Socket): void {
     this.sockets.add(socket)
     socket.once('close', () => this.sockets.delete(socket))
   }
 
-  /** Follows a connection that requests can come by until it closes. */
+  /** Tracks a connection that can carry requests (after any TLS handshake) until it closes. */
   open(socket: Socket): void {
     this.exchanges.set(socket, new Set())
     socket.once('close', () => {
@@ -36,7 +36,7 @@
     if (removed) this.subtract(1)
   }
 
-  /** Exchanges of one connection that are not answered; undefined before it was open. */
+  /** Number of exchanges in progress on a connection; undefined before it is open. */
   pending(socket: Duplex): number | undefined {
     return this.exchanges.get(socket)?.size
   }
@@ -54,60 +54,60 @@
     return this.inProgress
   }
 
-  /** Calls back when no exchange is in progress; returns how to give up waiting. */
+  /** Calls back once no exchange is in progress; returns a function that cancels the callback. */
   whenIdle(callback: () => void): () => void {
     if (this.inProgress === 0) callback()
     else this.idleWaiters.add(callback)
     return () => this.idleWaiters.delete(callback)
   }
 
-  /** Requests that nothing was written for yet. */
+  /** Number of requests for which no response has been written. */
   unanswered(): number {
     const all = [...this.exchanges.values()].flatMap((pending) => [...pending])
     return all.filter((exchange) => !exchange.isEnded()).length
   }
 
-  /** Closes the connections on which no answer is awaited or being sent. */
+  /** Closes the connections that have no request in progress. */
   closeIdle(): void {
     for (const [socket, pending] of this.exchanges) {
-      if (pending.size === 0) closeWhenSent(socket)
+      if (pending.size === 0) closeAfterFlush(socket)
     }
   }
 
-  /** Closes each connection once what was written to it has been sent. */
+  /** Closes each connection once its written data has been flushed. */
   closeAll(): void {
-    for (const socket of this.exchanges.keys()) closeWhenSent(socket)
+    for (const socket of this.exchanges.keys()) closeAfterFlush(socket)
   }
 
   destroyAll(): void {
     for (const socket of this.sockets) socket.destroy()
   }
 
-  /** All that the client of a closed connection waited for is abandoned. */
+  /** Abandons the unanswered exchanges of a closed connection. */
   private close(socket: Socket): void {
     const pending = [...(this.exchanges.get(socket) ?? [])]
     for (const exchange of pending) exchange.abandon()
-    // What is left was answered, but the connection closed before it was all sent.
-    const unsent = this.exchanges.get(socket)?.size ?? 0
+    // The remaining exchanges were answered, but the connection closed before the flush.
+    const unflushed = this.exchanges.get(socket)?.size ?? 0
     this.exchanges.delete(socket)
-    this.subtract(unsent)
+    this.subtract(unflushed)
   }
 
   private subtract(count: number): void {
     if (count === 0) return
     this.inProgress -= count
-    if (this.inProgress === 0) this.wakeWaiters()
+    if (this.inProgress === 0) this.notifyIdleWaiters()
   }
 
-  private wakeWaiters(): void {
+  private notifyIdleWaiters(): void {
     const waiters = [...this.idleWaiters]
     this.idleWaiters.clear()
-    for (const wake of waiters) wake()
+    for (const notify of waiters) notify()
   }
 }
 
-/** Ends both directions: a request that came after it could not be answered. */
-function closeWhenSent(socket: Duplex): void {
+/** Closes both directions, since a request received after `end` could not be answered. */
+function closeAfterFlush(socket: Duplex): void {
   socket.end(() => {
     socket.destroy()
   })
--- a/packages/http-api/src/lib/server/Counters.ts
+++ b/packages/http-api/src/lib/server/Counters.ts
@@ -1,6 +1,6 @@
 import type { HttpCounters } from './HttpServer'
 
-/** Counts what a server did. @internal */
+/** Counts the requests, responses and refused connections of a server. @internal */
 export class Counters {
   private requests = 0
   private abandoned = 0
--- a/packages/http-api/src/lib/server/HttpServer.ts
+++ b/packages/http-api/src/lib/server/HttpServer.ts
@@ -1,11 +1,11 @@
 import type { Effect } from 'effect'
 
-/** What a server counted since its start. @public */
+/** Counters of a server since its start. @public */
 export interface HttpCounters {
   readonly requests: number
-  /** Answers by status code. */
+  /** Number of responses by status code. */
   readonly answers: ReadonlyMap<number, number>
-  /** Requests whose client was gone before the answer. */
+  /** Requests whose client disconnected before the response. */
   readonly abandoned: number
   /** Requests that could not be parsed as HTTP. */
   readonly malformed: number
@@ -13,18 +13,18 @@
   readonly connectionsRefused: number
 }
 
-/** A running HTTP server; it ends with its scope. @public */
+/** A running HTTP server; it shuts down when its scope closes. @public */
 export interface HttpServer {
-  /** The port it listens on; the actual one where the options said 0. */
+  /** The port it listens on; the assigned port if the options have 0. */
   readonly port: number
   /** Open connections. */
   connections(): number
-  /** Requests that are not answered yet. */
+  /** Requests whose responses have not been flushed. */
   requestsInProgress(): number
   counters(): HttpCounters
   /**
-   * Asks clients to leave: each answer from now on closes its connection. New connections are
-   * still served, for the time that the balancer needs to notice.
+   * Closes each connection after its next response. New connections are still served until the
+   * load balancer has stopped routing to this instance.
    */
   closeAfterAnswers(): void
   /** Stops listening and closes idle connections; requests in progress go on. */
--- a/packages/http-api/src/lib/server/HttpServerOptions.ts
+++ b/packages/http-api/src/lib/server/HttpServerOptions.ts
@@ -1,10 +1,10 @@
 import { performance } from 'node:perf_hooks'
 
-/** Bounds on what one client, and all of them together, may ask of an HTTP server. @public */
+/** Limits of an HTTP server per client and for all clients together. @public */
 export interface HttpLimits {
   /** Largest request body, in bytes. */
   readonly bodyBytes: number
-  /** Bodies that are held in memory at the same time, in bytes, over all connections. */
+  /** Total size of request bodies in memory at one time, in bytes, over all connections. */
   readonly bufferedBytes: number
   /** Largest request head, in bytes. */
   readonly headerBytes: number
@@ -16,7 +16,7 @@
   readonly requestTimeoutMs: number
   /** How long a connection may stay open without a request, in milliseconds. */
   readonly idleTimeoutMs: number
-  /** How long the rest of a refused body is read and thrown away, in milliseconds. */
+  /** How long the rest of a refused body is read and discarded, in milliseconds. */
   readonly lingerMs: number
   /** Open connections; further ones are closed at once. */
   readonly connections: number
@@ -24,7 +24,7 @@
   readonly pipelinedRequests: number
   /** Time for handling requests in one turn of the event loop, in milliseconds. */
   readonly turnBudgetMs: number
-  /** Requests that waited longer for their turn are refused, in milliseconds. */
+  /** Longest time in the queue before a request is refused, in milliseconds. */
   readonly queueWaitMs: number
   /** Deadline of a job whose caller states none, in milliseconds. */
   readonly defaultDeadlineMs: number
@@ -33,8 +33,8 @@
 }
 
 /**
- * Starting values. The sizes follow from the tasks of the design (hundreds of short tasks with
- * small payloads in a job); `docs/design/http-interfaces.md` gives the reasons.
+ * Default limits. The sizes assume jobs of hundreds of short tasks with small payloads;
+ * `docs/design/http-interfaces.md` gives the reasons.
  *
  * @public
  */
@@ -55,27 +55,27 @@
   maxDeadlineMs: 3_600_000,
 }
 
-/** Files with the key and the certificates in PEM; with them the server speaks HTTPS. @public */
+/** PEM files of the private key and the certificates; they enable HTTPS. @public */
 export interface TlsFiles {
   readonly keyFile: string
   readonly certFile: string
 }
 
-/** Source of the present time, in milliseconds since the epoch. @public */
+/** Source of the current time, in milliseconds since the epoch. @public */
 export interface HttpClock {
   now(): number
 }
 
-/** What the three servers have in common. @public */
+/** Options shared by the caller, endpoint and operator servers. @public */
 export interface HttpServerOptions {
   /** IP address to listen on. */
   readonly host: string
   /** 0 takes any free port. */
   readonly port: number
   readonly tls?: TlsFiles
-  /** What is left out takes its value from `defaultHttpLimits`. */
+  /** Overrides of `defaultHttpLimits`. */
   readonly limits?: Partial<HttpLimits>
-  /** Takes short sentences about what the server does. */
+  /** Receives the log lines of the server. */
   readonly log: (line: string) => void
   readonly clock?: HttpClock
 }
@@ -85,12 +85,12 @@
   return { ...defaultHttpLimits, ...options.limits }
 }
 
-/** Wall clock at the start of the process, moved on by the monotonic clock. */
+/** Wall-clock time at process start, advanced by the monotonic clock. */
 const monotonicClock: HttpClock = {
   now: () => performance.timeOrigin + performance.now(),
 }
 
-/** The clock of the options, or the machine's. @internal */
+/** Returns the clock of the options, or the system clock by default. @internal */
 export function resolveClock(options: HttpServerOptions): HttpClock {
   return options.clock ?? monotonicClock
 }
--- a/packages/http-api/src/lib/server/ServerHost.ts
+++ b/packages/http-api/src/lib/server/ServerHost.ts
@@ -17,7 +17,7 @@
 import type { HttpClock, HttpLimits } from './HttpServerOptions'
 import { refuseUnparsed } from './refuseUnparsed'
 
-/** How long a client may take to read answers when the server ends, in milliseconds. */
+/** Time for clients to read written responses during shutdown, in milliseconds. */
 const FLUSH_MS = 250
 
 /** @internal */
@@ -30,7 +30,7 @@
   readonly log: (line: string) => void
 }
 
-/** Holds the connections, budgets and counters of one server. @internal */
+/** Connections, budgets and counters of one HTTP server. @internal */
 export class ServerHost implements ExchangeHost, HttpServer {
   readonly limits: HttpLimits
   readonly budget: BodyBudget
@@ -56,10 +56,10 @@
     const monotonic = (): number => performance.now()
     this.turns = new TurnQueue(options.limits.turnBudgetMs, monotonic, setImmediate)
     this.whenIdle = Effect.callback<undefined>((resume) => {
-      const giveUp = this.table.whenIdle(() => {
+      const cancelWait = this.table.whenIdle(() => {
         resume(Effect.succeed(undefined))
       })
-      return Effect.sync(giveUp)
+      return Effect.sync(cancelWait)
     })
     this.listenToNode()
   }
@@ -91,13 +91,13 @@
 
   stopAccepting(): void {
     this.closing = true
-    // The close of `http` would destroy connections whose answer was ended but is still being
-    // sent: it takes them for idle. The one below it only stops listening.
+    // `http.Server.close` would destroy connections whose response was ended but not yet flushed,
+    // because it considers them idle. `net.Server.close` only stops listening.
     net.Server.prototype.close.call(this.node)
     this.table.closeIdle()
   }
 
-  /** Ends everything; says what was cut off. Answers that were written are still sent. */
+  /** Shuts down and logs how many requests were cut off. Written responses are still flushed. */
   shutDown(): void {
     const cutOff = this.table.unanswered()
     if (cutOff > 0) this.log(`cut off ${cutOff} requests in progress`)
@@ -105,7 +105,7 @@
     this.table.closeAll()
     setTimeout(() => {
       this.table.destroyAll()
-      // Ends Node's own timer for heads.
+      // Also stops Node's timer for header timeouts.
       this.node.close()
     }, FLUSH_MS).unref()
   }
@@ -144,13 +144,17 @@
     })
   }
 
-  private serve(req: http.IncomingMessage, res: http.ServerResponse, awaits: boolean): void {
+  private serve(
+    req: http.IncomingMessage,
+    res: http.ServerResponse,
+    awaitsContinue: boolean,
+  ): void {
     const exchange = this.open(req, res)
     const pending = this.table.pending(req.socket) ?? 0
     if (pending > this.limits.pipelinedRequests) {
       exchange.refuse(tooManyPipelined(this.limits.pipelinedRequests))
     } else {
-      exchange.begin(awaits)
+      exchange.begin(awaitsContinue)
     }
   }
 
--- a/packages/http-api/src/lib/server/createNodeServer.ts
+++ b/packages/http-api/src/lib/server/createNodeServer.ts
@@ -6,12 +6,12 @@
 import type { HttpLimits, TlsFiles } from './HttpServerOptions'
 import { Err, Ok } from '@cherryhitch/model'
 
-/** TCP keepalive: finds peers that are gone while a long request waits, in milliseconds. */
+/** TCP keepalive delay in milliseconds; detects lost peers while a long request waits. */
 const TCP_KEEP_ALIVE_MS = 15_000
-/** Timeouts of heads are looked for this often within one timeout. */
+/** How many times per timeout Node checks for expired request heads. */
 const CHECKS_PER_TIMEOUT = 4
 
-/** Makes the server of Node's `http` or `https`, with the limits set. @internal */
+/** Creates Node's `http` or `https` server with the limits applied. @internal */
 export function createNodeServer(
   limits: HttpLimits,
   tls: TlsFiles | undefined,
@@ -23,7 +23,7 @@
     const cert = fs.readFileSync(tls.certFile)
     return Ok(applyLimits(https.createServer({ ...options, key, cert }), limits))
   } catch (err) {
-    const message = `can't use the key ${tls.keyFile} with the certificate ${tls.certFile}`
+    const message = `can't load TLS key ${tls.keyFile} and certificate ${tls.certFile}`
     return Err(new HttpServerError(HttpServerErrorKind.TlsUnusable, message, err))
   }
 }
@@ -32,7 +32,7 @@
   return {
     maxHeaderSize: limits.headerBytes,
     headersTimeout: limits.requestTimeoutMs,
-    // Bodies have a timeout of their own, which can answer; this one only cuts off.
+    // BodyReader has its own timeout, which can respond; this one would only close the socket.
     requestTimeout: 0,
     keepAliveTimeout: limits.idleTimeoutMs,
     connectionsCheckingInterval: Math.ceil(limits.requestTimeoutMs / CHECKS_PER_TIMEOUT),
@@ -45,8 +45,8 @@
 
 function applyLimits(server: http.Server, limits: HttpLimits): http.Server {
   server.maxConnections = limits.connections
-  // Past this number Node drops headers in silence, the Idempotency-Key among them. The
-  // limit on the head's size bounds them already.
+  // Past this number Node silently drops headers, possibly the Idempotency-Key. The limit on
+  // the size of the head already bounds them.
   server.maxHeadersCount = 0
   return server
 }
--- a/packages/http-api/src/lib/server/openServer.test.ts
+++ b/packages/http-api/src/lib/server/openServer.test.ts
@@ -20,13 +20,13 @@
 import { OpenAuthenticator } from '../auth/OpenAuthenticator'
 
 const body = JSON.stringify(smallJob)
-/** A job whose payload has a byte that no UTF-8 text has. */
+/** A job whose payload has a byte that is invalid in UTF-8. */
 const notUtf8 = Buffer.from(body.replace('claim', 'cl\xffim'), 'latin1')
 const CLOSE = 'Connection: close'
 const tlsFolder = path.join(import.meta.dirname, '../fixtures/tls')
 const tls = { keyFile: `${tlsFolder}/key.pem`, certFile: `${tlsFolder}/cert.pem` }
 
-/** Answers that never come, until the test lets them. */
+/** Answers that are withheld until the test calls `open`. */
 function gate() {
   let open = (): void => undefined
   const opened = new Promise<void>((resolve) => {
@@ -45,7 +45,7 @@
   }
 }
 
-describe('an HTTP server under hostile input', () => {
+describe('an HTTP server given invalid or hostile input', () => {
   const limits = {
     bodyBytes: 2000,
     headerBytes: 2000,
@@ -66,7 +66,7 @@
       status: 404,
     },
     {
-      name: 'a target that is no text',
+      name: 'a target that is not UTF-8',
       sent: [`GET /v1/jobs/%ff HTTP/1.1\r\nHost: x\r\n${CLOSE}\r\n\r\n`],
       status: 404,
     },
@@ -76,7 +76,7 @@
       sent: ['POST /v1/jobs HTTP/1.1\r\nHost: x\r\n'],
       status: 408,
     },
-    { name: 'a connection that says nothing', sent: [], status: 408 },
+    { name: 'a connection that sends nothing', sent: [], status: 408 },
     {
       name: 'a body that never ends',
       sent: [rawPost(['Content-Length: 500']), '{"a'],
@@ -89,7 +89,7 @@
       status: 413,
     },
     {
-      name: 'an expectation that nobody knows',
+      name: 'an unknown expectation',
       sent: [rawJob(body, ['Expect: miracles', CLOSE])],
       status: 417,
     },
@@ -109,7 +109,7 @@
     })
   }
 
-  it('gets its answer to a client that is still sending a refused body', async (t) => {
+  it('delivers its response to a client that is still sending a refused body', async (t) => {
     const { server } = await openCallerServer(t, { limits: { ...limits, lingerMs: 1000 } })
     const socket = net.connect(server.port, '127.0.0.1').pause()
     let received = ''
@@ -125,14 +125,14 @@
     assert.match(received, /^HTTP\/1.1 413 /)
   })
 
-  it('keeps the Idempotency-Key behind more headers than Node keeps by itself', async (t) => {
+  it('keeps an Idempotency-Key after more headers than Node keeps by default', async (t) => {
     const { server, service } = await openCallerServer(t)
     const padding = Array.from({ length: 1500 }, () => 'X: 1')
     await exchangeRaw(server.port, rawJob(body, [...padding, 'Idempotency-Key: last', CLOSE]))
     assert.equal(service.submitted[0]?.submissionKey, 'last')
   })
 
-  it('says nothing of a running request when garbage follows it', async (t) => {
+  it('sends no response for invalid input that follows a running request', async (t) => {
     const { server, service } = await openCallerServer(t)
     service.answer = () => Effect.never
     const raw = await exchangeRaw(server.port, rawJob(body), 'garbage\r\n\r\n')
@@ -141,7 +141,7 @@
     assert.equal(service.interrupted, 1)
   })
 
-  it('abandons half a request without a trace', async (t) => {
+  it('abandons a partial request without calling the service', async (t) => {
     const { server, service } = await openCallerServer(t)
     const socket = net.connect(server.port, '127.0.0.1')
     socket.end(rawPost(['Content-Length: 500']) + '{"idem')
@@ -151,7 +151,7 @@
     socket.destroy()
   })
 
-  it('does not begin what a client that has gone left waiting', async (t) => {
+  it('does not start queued requests of a client that has disconnected', async (t) => {
     const { server, service } = await openCallerServer(t, { limits: { turnBudgetMs: 0 } })
     const socket = net.connect(server.port, '127.0.0.1')
     service.answer = () => {
@@ -160,7 +160,7 @@
     }
     socket.write(rawJob(body).repeat(5))
     await eventually(() => server.counters().abandoned === 5)
-    // Turns that were asked for before have all come by then.
+    // All turns scheduled before this loop have run by its end.
     for (let turn = 0; turn < 10; turn++) await new Promise(setImmediate)
     assert.equal(server.counters().abandoned, 5)
     assert.ok(service.submitted.length < 5)
@@ -178,7 +178,7 @@
     assert.equal(service.submitted.length, 2)
   })
 
-  it('lets a client that asks first keep a body that is too large', async (t) => {
+  it('answers Expect: 100-continue with 413 for a too large body, else with 100', async (t) => {
     const { server } = await openCallerServer(t, { limits })
     const expect = 'Expect: 100-continue'
     const refused = await exchangeRaw(server.port, rawPost(['Content-Length: 9000', expect]))
@@ -187,7 +187,7 @@
     assert.match(taken, /^HTTP\/1.1 100 Continue\r\n\r\nHTTP\/1.1 200 /)
   })
 
-  it('gives the memory of bodies back', async (t) => {
+  it('releases the memory budget of bodies', async (t) => {
     const { server } = await openCallerServer(t, { limits: { bufferedBytes: body.length } })
     for (let i = 0; i < 3; i++) {
       const answer = await send(server.port, '/v1/jobs', { method: 'POST', body })
@@ -215,14 +215,14 @@
 })
 
 describe('a shutdown', () => {
-  it('closes connections with the answer once told to', async (t) => {
+  it('closes connections after the response following closeAfterAnswers', async (t) => {
     const { server } = await openCallerServer(t)
     server.closeAfterAnswers()
     const answer = await send(server.port, '/v1/jobs', { method: 'POST', body })
     assert.equal(answer.headers.get('connection'), 'close')
   })
 
-  it('cuts off no pipelined request by closing after the one before it', async (t) => {
+  it('does not cut off a pipelined request by closing after the previous response', async (t) => {
     const { server, service } = await openCallerServer(t)
     const { answer, open } = gate()
     service.answer = answer
@@ -234,7 +234,7 @@
     assert.equal(service.interrupted, 0)
   })
 
-  it('closes idle connections when it stops accepting, but none that is being answered', async (t) => {
+  it('closes idle connections when it stops accepting, but none with a response in flight', async (t) => {
     const { server, service } = await openCallerServer(t)
     const large = `"${'x'.repeat(8_000_000)}"`
     service.answer = () => Effect.succeed(succeeded([large]))
@@ -256,7 +256,7 @@
     busy.destroy()
   })
 
-  it('finishes what is in progress, and takes nothing new', async (t) => {
+  it('finishes requests in progress and accepts no new ones', async (t) => {
     const { server, service, logged, close } = await openCallerServer(t)
     const { answer, open } = gate()
     service.answer = answer
@@ -272,7 +272,7 @@
     assert.deepEqual(logged, [])
   })
 
-  it('still sends an answer that was written just before the end', async (t) => {
+  it('flushes a response that was written just before shutdown', async (t) => {
     const { server, service, logged, close } = await openCallerServer(t)
     const large = `"${'x'.repeat(8_000_000)}"`
     service.answer = () => Effect.succeed(succeeded([large]))
@@ -289,7 +289,7 @@
     assert.deepEqual(logged, [])
   })
 
-  it('says how many requests it cut off', async (t) => {
+  it('logs how many requests it cut off', async (t) => {
     const { server, service, logged, close } = await openCallerServer(t)
     service.answer = () => Effect.never
     const running = send(server.port, '/v1/jobs', { method: 'POST', body })
@@ -324,7 +324,7 @@
     })
   }
 
-  it('speaks HTTPS with a key, and tells the service of callers that go', async (t) => {
+  it('serves HTTPS with a key, and interrupts the service when a caller disconnects', async (t) => {
     const { server, service } = await openCallerServer(t, { tls })
     service.answer = () => Effect.never
     const req = https.request({
--- a/packages/http-api/src/lib/server/openServer.ts
+++ b/packages/http-api/src/lib/server/openServer.ts
@@ -11,7 +11,7 @@
 import { resolveClock, resolveLimits } from './HttpServerOptions'
 import { ServerHost } from './ServerHost'
 
-/** Opens a server for the routes; it ends with the scope. @public */
+/** Starts a server for the routes; it shuts down when the scope closes. @public */
 export function openServer(
   options: HttpServerOptions,
   auth: Authenticator,
--- a/packages/http-api/src/lib/server/refuseUnparsed.ts
+++ b/packages/http-api/src/lib/server/refuseUnparsed.ts
@@ -3,18 +3,18 @@
 import { RequestError, RequestErrorKind } from '../problems/RequestError'
 import { requestErrorReply } from '../problems/requestErrorReply'
 
-/** Codes of Node's `clientError` that have a meaning of their own here. */
+/** Error codes of Node's `clientError` that map to a specific refusal. */
 const kindByCode: Readonly<Record<string, RequestErrorKind>> = {
   HPE_HEADER_OVERFLOW: RequestErrorKind.HeadersTooLarge,
   ERR_HTTP_REQUEST_TIMEOUT: RequestErrorKind.BodyTimeout,
 }
 
 /**
- * Answers what is no HTTP request, and closes the connection.
+ * Responds to input that could not be parsed as an HTTP request, and closes the connection.
  *
- * @param pending - requests of the connection that are not answered, undefined before its
- *   TLS handshake. With any of them this answer would be taken for theirs and claim that they
- *   did not run, so it is left out.
+ * @param pending - number of unanswered requests of the connection, undefined before its TLS
+ *   handshake. If there are any, no response is sent: the client would take it for theirs and
+ *   conclude that they did not run.
  * @internal
  */
 export function refuseUnparsed(
--- a/packages/http-api/src/lib/services/JobService.ts
+++ b/packages/http-api/src/lib/services/JobService.ts
@@ -1,24 +1,24 @@
 import type { JobAnswer, JobSpec } from '@cherryhitch/protocol'
 import type { Effect } from 'effect'
 
-/** A caller's question about a job. @public */
+/** A caller's query or cancellation of a job. @public */
 export interface JobQuestion {
   readonly jobId: string
   readonly caller: string
-  /** Cancel the job as well. */
+  /** Also cancels the job. */
   readonly cancel: boolean
-  /** Answer when the job has ended rather than at once. */
+  /** Delays the answer until the job has ended. */
   readonly wait: boolean
 }
 
-/** What the caller interface needs of the instance. @public */
+/** Operations of the instance behind the caller API. @public */
 export abstract class JobService {
   /**
    * Submits a job and answers when it has ended, or at once with `respondAsync`.
-   * Interrupting the effect tells that the caller's connection is gone.
+   * The effect is interrupted when the caller disconnects.
    */
   abstract submit(job: JobSpec, respondAsync: boolean): Effect.Effect<JobAnswer>
 
-  /** Asks after a job at any instance; undefined when nobody knows it. */
+  /** Queries a job of any instance; undefined if no instance knows it. */
   abstract query(question: JobQuestion): Effect.Effect<JobAnswer | undefined>
 }
--- a/packages/http-api/src/lib/services/OperatorService.ts
+++ b/packages/http-api/src/lib/services/OperatorService.ts
@@ -10,7 +10,7 @@
 } from '@cherryhitch/protocol'
 import type { Effect } from 'effect'
 
-/** What an operator sees of an endpoint. @public */
+/** Status of an endpoint as shown to operators. @public */
 export interface EndpointStatus {
   readonly announcement: EndpointAnnouncement
   readonly owner: string
@@ -19,10 +19,10 @@
   readonly ejected: boolean
 }
 
-/** What an operator sees of the settings here. @public */
+/** Settings of this instance as shown to operators. @public */
 export interface SettingsStatus {
   readonly settings: SettingsState
-  /** False while the quorum can't be reached: the settings are the newest known here. */
+  /** False while the quorum is unreachable; the settings are then the newest known here. */
   readonly current: boolean
 }
 
@@ -33,12 +33,12 @@
   readonly current: boolean
 }
 
-/** What the operator interface needs of the instance. @public */
+/** Operations of the instance behind the operator API. @public */
 export abstract class OperatorService {
   abstract instances(): Effect.Effect<readonly InstanceView[]>
   /** Endpoints that this instance owns. */
   abstract endpoints(): Effect.Effect<readonly EndpointStatus[]>
-  /** Jobs that this instance coordinates and that have not ended, and the latest that have. */
+  /** Unfinished jobs that this instance coordinates, and the most recently ended ones. */
   abstract jobs(): Effect.Effect<readonly JobAnswer[]>
   abstract settings(): Effect.Effect<SettingsStatus>
   /** Commits a change through the log; safe to repeat with the same command id. */
