--- a/packages/http-api/src/index.ts
+++ b/packages/http-api/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP towards callers, endpoints and operators.
+ * HTTP servers for callers, endpoints and operators.
  *
  * @packageDocumentation
  */
