--- a/apps/bench/src/capacity/measureMembershipSlopes.ts
+++ b/apps/bench/src/capacity/measureMembershipSlopes.ts
@@ -59,7 +59,7 @@
       if (action.kind === MembershipActionKind.ViewChanged) views++
     }
   }
-  const { heartbeatMs, crossZoneHeartbeatMs: farHeartbeatMs } = defaultMembershipTiming
+  const { heartbeatMs, crossZoneHeartbeatMs } = defaultMembershipTiming
   const us = processorUs(() => {
     for (let now = from; now < from + RUN_MS; now += TICK_MS) {
       if (now % OFFER_MS === 0) {
@@ -68,7 +68,7 @@
         take(machine.step(now, { kind: MembershipEventKind.LocalOffer, services, ...rest }))
       }
       for (const [n, { instance, zone }] of peers.entries()) {
-        const pace = zone === ZONE ? heartbeatMs : farHeartbeatMs
+        const pace = zone === ZONE ? heartbeatMs : crossZoneHeartbeatMs
         if (now % pace !== 0) continue
         const services = offers[n + 1]?.[(now / pace) % 2] ?? []
         const heartbeat = makeHeartbeat(now, services, zone)
--- a/apps/bench/src/joint/EndpointRequests.ts
+++ b/apps/bench/src/joint/EndpointRequests.ts
@@ -137,11 +137,11 @@
       return { kind: OwnerEventKind.StopEnded, endpoint, results }
     }
     case OwnerActionKind.RenewLeases: {
-      const asked = question.taskIds
+      const taskIds = question.taskIds
       return {
         kind: OwnerEventKind.LeasesRenewed,
         endpoint,
-        taskIds: asked,
+        taskIds,
         knownTaskIds: undefined,
       }
     }
--- a/apps/bench/src/joint/JointEndpoint.ts
+++ b/apps/bench/src/joint/JointEndpoint.ts
@@ -74,13 +74,13 @@
       answer({ kind: OwnerEventKind.StopEnded, endpoint, results, boot: this.boot })
     }
     if (action.kind === OwnerActionKind.RenewLeases) {
-      const asked = action.taskIds
-      const known = asked.filter((taskId) => this.renew(taskId, now + action.leaseMs))
+      const taskIds = action.taskIds
+      const knownTaskIds = taskIds.filter((taskId) => this.renew(taskId, now + action.leaseMs))
       answer({
         kind: OwnerEventKind.LeasesRenewed,
         endpoint,
-        taskIds: asked,
-        knownTaskIds: known,
+        taskIds,
+        knownTaskIds,
         boot: this.boot,
       })
     }
--- a/apps/cherryhitch/src/lib/dispatching/NoticeExchange.ts
+++ b/apps/cherryhitch/src/lib/dispatching/NoticeExchange.ts
@@ -170,11 +170,11 @@
     if (this.readProgress === undefined) return
     const { term, needed, complete, followed } = this.readProgress
     if (followed.size >= needed) {
-      const followedUntil = Math.max(...followed.values())
+      const confirmedUntil = Math.max(...followed.values())
       this.options.tell({
         kind: DispatchEventKind.EarlierLeadersConfirmed,
         term,
-        confirmedUntil: followedUntil,
+        confirmedUntil,
       })
     }
     if (complete.size < needed) return
--- a/apps/cherryhitch/src/lib/dispatching/runDispatch.ts
+++ b/apps/cherryhitch/src/lib/dispatching/runDispatch.ts
@@ -157,8 +157,8 @@
   })
   parts.directoryStore.bind(store)
   return Effect.gen(function* () {
-    const { notices, ...news } = yield* store.read()
-    tell({ kind: DispatchEventKind.EndpointLosses, losses: news })
+    const { notices, ...losses } = yield* store.read()
+    tell({ kind: DispatchEventKind.EndpointLosses, losses })
     for (const notice of notices) tell({ kind: DispatchEventKind.Notice, notice })
     yield* startTimer(DIRECTORY_CHECK_INTERVAL_MS, () => {
       store.tick(now())
--- a/packages/dispatch/src/lib/DispatchCore.ts
+++ b/packages/dispatch/src/lib/DispatchCore.ts
@@ -179,14 +179,14 @@
    * @returns the id of the order, which its answer repeats
    */
   sendOrder(now: number, target: EndpointRecord, body: OrderBody): number {
-    const { id: endpoint, notice, incarnationNumber: lifeNumber } = target
+    const { id: endpoint, notice, incarnationNumber } = target
     const { address, zone } = notice
     this.#lastOrderId = (this.#lastOrderId + 1) % ORDER_ID_RANGE
     const order = makeEndpointOrder({
       id: this.#lastOrderId,
       endpoint,
       address,
-      fencingToken: makeFencingToken(this.term ?? 0, lifeNumber),
+      fencingToken: makeFencingToken(this.term ?? 0, incarnationNumber),
       timeoutMs: body.timeoutMs,
       order: body.order,
     })
@@ -195,7 +195,7 @@
   }
 
   log(message: string, fields: Readonly<Record<string, unknown>>): void {
-    this.emit({ kind: DispatchActionKind.Log, message: message, fields })
+    this.emit({ kind: DispatchActionKind.Log, message, fields })
   }
 
   answer({ instance, requestId }: JobWaiter, verdict: JobVerdict, more: OutcomeFields = {}): void {
--- a/packages/dispatch/src/lib/crashes/CrashDetector.ts
+++ b/packages/dispatch/src/lib/crashes/CrashDetector.ts
@@ -53,9 +53,9 @@
   handOver(now: number): void {
     const all = [...this.core.endpoints.all()]
     const lost = all.flatMap((endpoint) => {
-      const { notice, runs, unanswered, isSynced: isAdopted, isReplaced } = endpoint
+      const { notice, runs, unanswered, isSynced, isReplaced } = endpoint
       const isSilent = unanswered > 0 || isReplaced
-      const isRelevant = runs.size > 0 || (isSilent && isAdopted)
+      const isRelevant = runs.size > 0 || (isSilent && isSynced)
       if (!isRelevant || notice.state !== NoticeState.SERVING) return []
       const loss = this.#lossOf(endpoint, isSilent ? groupsOf(endpoint, all) : [])
       return this.core.losses.apply(now, loss) ? this.core.losses.describe(now, endpoint.id) : []
@@ -162,8 +162,8 @@
     })
   }
 
-  #broadcast(news: LossUpdate): void {
-    this.core.emit({ kind: DispatchActionKind.BroadcastLosses, losses: news })
+  #broadcast(losses: LossUpdate): void {
+    this.core.emit({ kind: DispatchActionKind.BroadcastLosses, losses })
   }
 
   #applyPossible(now: number, possible: PossibleLoss): void {
--- a/packages/dispatch/src/lib/crashes/LossWindow.ts
+++ b/packages/dispatch/src/lib/crashes/LossWindow.ts
@@ -19,8 +19,8 @@
  * @internal
  */
 export function lossWindow(endpoint: EndpointRecord): LossWindow | undefined {
-  const { isSynced: isAdopted, isReplaced, unanswered, answeredAt, silentSince } = endpoint
-  if (!isAdopted || (unanswered === 0 && !isReplaced)) return undefined
+  const { isSynced, isReplaced, unanswered, answeredAt, silentSince } = endpoint
+  if (!isSynced || (unanswered === 0 && !isReplaced)) return undefined
   return { after: answeredAt, until: silentSince }
 }
 
--- a/packages/dispatch/src/lib/crashes/UnlistedTaskDetector.ts
+++ b/packages/dispatch/src/lib/crashes/UnlistedTaskDetector.ts
@@ -97,8 +97,8 @@
 
   #haveAllBeenAsked(now: number): boolean {
     if (!areAllRunsKnown(now, this.core)) return false
-    for (const { isSynced: isAdopted, isReplaced, unanswered } of this.core.endpoints.all()) {
-      if (!isAdopted && !isReplaced && unanswered === 0) return false
+    for (const { isSynced, isReplaced, unanswered } of this.core.endpoints.all()) {
+      if (!isSynced && !isReplaced && unanswered === 0) return false
     }
     return true
   }
@@ -116,15 +116,15 @@
 
   /** Includes endpoints removed in an earlier term that ended before its check. */
   #takeRemoved(now: number): EndpointRecord[] {
-    const { endpointExpiryMs: forgetEndpointMs } = this.core.timing
-    const lately = [...this.#removed].filter(([, at]) => now - at < forgetEndpointMs)
+    const { endpointExpiryMs } = this.core.timing
+    const lately = [...this.#removed].filter(([, at]) => now - at < endpointExpiryMs)
     this.#removed.clear()
     return lately.map(([endpoint]) => endpoint)
   }
 
   /** Excludes endpoints whose loss an earlier leader has already recorded. */
-  #isMissing({ id, notice, isSynced: isAdopted }: EndpointRecord): boolean {
-    if (isAdopted || notice.state !== NoticeState.SERVING) return false
+  #isMissing({ id, notice, isSynced }: EndpointRecord): boolean {
+    if (isSynced || notice.state !== NoticeState.SERVING) return false
     const { losses } = this.core
     return losses.has(id) ? losses.wasResponsive(id) : !losses.possible.hasEndpoint(id)
   }
--- a/packages/dispatch/src/lib/endpoints/EndpointRegistry.ts
+++ b/packages/dispatch/src/lib/endpoints/EndpointRegistry.ts
@@ -151,13 +151,13 @@
 
   /**
    * Whether an endpoint without runs can be removed: it was replaced and its orders have expired,
-   * or it has been silent for `forgetEndpointMs`, or it announced GONE and no longer answers.
+   * or it has been silent for `endpointExpiryMs`, or it announced GONE and no longer answers.
    */
   isRemovable(now: number, record: EndpointRecord): boolean {
     if (record.runs.size > 0) return false
     if (record.isReplaced) return record.isQuiescent(now)
-    const { endpointExpiryMs: forgetEndpointMs } = this.timing
-    const silent = now - Math.max(record.answeredAt, record.noticedAt) > forgetEndpointMs
+    const { endpointExpiryMs } = this.timing
+    const silent = now - Math.max(record.answeredAt, record.noticedAt) > endpointExpiryMs
     return silent || (record.notice.state === NoticeState.GONE && record.unanswered > 0)
   }
 
--- a/packages/dispatch/src/lib/endpoints/LeaseLoop.ts
+++ b/packages/dispatch/src/lib/endpoints/LeaseLoop.ts
@@ -100,8 +100,8 @@
    */
   reopenHold(now: number, endpoint: EndpointRecord): void {
     if (endpoint.runs.size === 0) {
-      const { idleBatchIntervalMs: idleGatherMs } = this.core.timing
-      endpoint.nextHoldAt = Math.ceil(now / idleGatherMs) * idleGatherMs
+      const { idleBatchIntervalMs } = this.core.timing
+      endpoint.nextHoldAt = Math.ceil(now / idleBatchIntervalMs) * idleBatchIntervalMs
     }
     this.openHold(now, endpoint)
   }
--- a/packages/dispatch/src/lib/jobs/JobRegistry.ts
+++ b/packages/dispatch/src/lib/jobs/JobRegistry.ts
@@ -187,9 +187,9 @@
   }
 
   tick(now: number): void {
-    const { verdictRetentionMs: keepVerdictMs } = this.core.timing
+    const { verdictRetentionMs } = this.core.timing
     for (const [id, { endedAt }] of this.#ended) {
-      if (now - endedAt < keepVerdictMs && this.#ended.size <= MAX_RETAINED_VERDICTS) return
+      if (now - endedAt < verdictRetentionMs && this.#ended.size <= MAX_RETAINED_VERDICTS) return
       this.#ended.delete(id)
     }
   }
--- a/packages/dispatch/src/lib/orders/AnswerHandler.ts
+++ b/packages/dispatch/src/lib/orders/AnswerHandler.ts
@@ -49,13 +49,13 @@
   }
 
   #onReport(now: number, endpoint: EndpointRecord, { order, sentAt, report }: HoldAnswer): void {
-    const { isSynced: wasAdopted, acknowledgedEnd, poll: look } = endpoint
+    const { isSynced: wasSynced, acknowledgedEnd, poll } = endpoint
     this.leases.noteAnswer(now, endpoint, order.id, report.clockMs)
     endpoint.noteAlive(sentAt)
     this.lifecycle.runs.onReport(now, endpoint, sentAt, report)
     const hasNewEnd = endpoint.acknowledgedEnd > acknowledgedEnd
-    if (hasNewEnd && look?.id === order.id) this.leases.discardMissedHold(look, endpoint)
-    if (!wasAdopted) this.onAdopted()
+    if (hasNewEnd && poll?.id === order.id) this.leases.discardMissedHold(poll, endpoint)
+    if (!wasSynced) this.onAdopted()
     this.leases.reopenHold(now, endpoint)
   }
 
--- a/packages/dispatch/src/lib/runs/RunTracker.ts
+++ b/packages/dispatch/src/lib/runs/RunTracker.ts
@@ -206,9 +206,9 @@
   }
 
   tick(now: number): void {
-    const { orphanTimeoutMs: orphanWaitMs } = this.core.timing
+    const { orphanTimeoutMs } = this.core.timing
     for (const run of this.#orphans.values()) {
-      if (now - run.sentAt < orphanWaitMs) continue
+      if (now - run.sentAt < orphanTimeoutMs) continue
       this.stop(now, run, 'nobody submitted its job again')
     }
     for (const endpoint of this.core.endpoints.all()) this.#tickEndpoint(now, endpoint)
@@ -338,6 +338,6 @@
 }
 
 /** Whether a synced endpoint was replaced or left more than one call unanswered. */
-function isUnresponsive({ isSynced: isAdopted, isReplaced, unanswered }: EndpointRecord): boolean {
-  return isAdopted && (isReplaced || unanswered > 1)
+function isUnresponsive({ isSynced, isReplaced, unanswered }: EndpointRecord): boolean {
+  return isSynced && (isReplaced || unanswered > 1)
 }
--- a/packages/dispatch/src/lib/scheduling/ServiceEndpoints.ts
+++ b/packages/dispatch/src/lib/scheduling/ServiceEndpoints.ts
@@ -59,7 +59,7 @@
   endpoint: EndpointRecord,
   health: HealthState,
 ): EndpointUse {
-  const { notice, isReplaced, unanswered, runs, broadcastAt: spreadAt } = endpoint
+  const { notice, isReplaced, unanswered, runs, broadcastAt } = endpoint
   if (notice.state !== NoticeState.SERVING || isReplaced) return EndpointUse.Excluded
   // After one call without an answer the endpoint still counts: a single answer may have been lost.
   if (unanswered > 1 || health === HealthState.Ejected) return EndpointUse.Excluded
@@ -67,7 +67,7 @@
   const isTrusted = health === HealthState.Healthy || runs.size === 0
   // The next leader must be able to learn of the endpoint from any majority, so a majority must
   // have confirmed this leader since the endpoint's notice was last broadcast.
-  const isKnown = core.confirmedAt >= spreadAt
+  const isKnown = core.confirmedAt >= broadcastAt
   // Tasks beside a suspect one could be lost with it, and would become suspects as well.
   const hasNoSuspect = !endpoint.hasSuspectTask
   if (isTrusted && isKnown && hasNoSuspect && endpoint.mayStart(now)) return EndpointUse.Available
--- a/packages/membership/src/lib/MembershipMachine.test.ts
+++ b/packages/membership/src/lib/MembershipMachine.test.ts
@@ -10,12 +10,7 @@
   defaultMembershipTiming,
 } from '../index'
 
-const {
-  timeoutMs,
-  linkDownTimeoutMs,
-  heartbeatMs,
-  crossZoneHeartbeatMs: farHeartbeatMs,
-} = defaultMembershipTiming
+const { timeoutMs, linkDownTimeoutMs, heartbeatMs, crossZoneHeartbeatMs } = defaultMembershipTiming
 
 function createMachine(instance: string, zone: string): MembershipMachine {
   const all = [
@@ -111,7 +106,7 @@
       sent.map((action) => (action.kind === MembershipActionKind.Send ? action.to : '')),
       ['b'],
     )
-    assert.equal(a.tick(farHeartbeatMs).length, 2)
+    assert.equal(a.tick(crossZoneHeartbeatMs).length, 2)
   })
 
   it('notifies all peers at once when it starts draining', () => {
--- a/packages/rpc/src/lib/host/startSelfDelivery.ts
+++ b/packages/rpc/src/lib/host/startSelfDelivery.ts
@@ -25,13 +25,13 @@
   options: SelfDeliveryOptions,
 ): Effect.Effect<SelfDelivery, never, Scope.Scope> {
   const { instance, boot, counters, handlers, maxQueuedEnvelopes } = options
-  const take = (envelopes: readonly Envelope[]): void => {
+  const handleBatch = (envelopes: readonly Envelope[]): void => {
     for (const envelope of envelopes) deliverEnvelope(options, instance, boot, envelope)
   }
   const onDefect = (defect: unknown): void => {
     handlers.log(`self-delivery stopped after an unexpected error: ${String(defect)}`)
   }
-  return Effect.map(startMailbox({ handleBatch: take, onDefect }), (mailbox) => (envelope) => {
+  return Effect.map(startMailbox({ handleBatch, onDefect }), (mailbox) => (envelope) => {
     if (mailbox.backlog() >= maxQueuedEnvelopes) {
       counters.dropped += 1
       return false
--- a/packages/runtime/src/lib/EventScheduler.test.ts
+++ b/packages/runtime/src/lib/EventScheduler.test.ts
@@ -37,12 +37,12 @@
     assert.deepEqual(ran, [0, 10, 20, 30])
   })
 
-  for (const [ties, expected] of [
+  for (const [tieOrder, expected] of [
     [TieOrder.Fifo, [0, 1, 2, 3, 4]],
     [TieOrder.Lifo, [4, 3, 2, 1, 0]],
   ] as const) {
-    it(`runs simultaneous events in tie order ${ties}`, () => {
-      const agenda = new EventScheduler({ tieOrder: ties })
+    it(`runs simultaneous events in tie order ${tieOrder}`, () => {
+      const agenda = new EventScheduler({ tieOrder })
       const ran: number[] = []
       for (let i = 0; i < 5; i++) {
         agenda.after(10, () => {
--- a/packages/runtime/src/lib/EventScheduler.ts
+++ b/packages/runtime/src/lib/EventScheduler.ts
@@ -33,9 +33,9 @@
   private readonly rankStep: number
 
   constructor(options: EventSchedulerOptions = {}) {
-    const { startMs, tieOrder: ties } = { ...defaultEventSchedulerOptions, ...options }
+    const { startMs, tieOrder } = { ...defaultEventSchedulerOptions, ...options }
     this.time = startMs
-    this.rankStep = ties === TieOrder.Fifo ? 1 : -1
+    this.rankStep = tieOrder === TieOrder.Fifo ? 1 : -1
   }
 
   get now(): number {
--- a/packages/runtime/src/lib/startPart.ts
+++ b/packages/runtime/src/lib/startPart.ts
@@ -41,7 +41,7 @@
     for (const action of actions) options.perform(action)
   }
   /** Handles events that arrived together in one call, so that the machine can share work. */
-  const runStep = (batch: readonly (Event | typeof TICK)[], dueAt: number): void => {
+  const handleBatch = (batch: readonly (Event | typeof TICK)[], dueAt: number): void => {
     const events = batch.filter((event): event is Event => event !== TICK)
     if (events.length > 0) perform(machine.stepAll(clock.now(), events))
     if (events.length < batch.length) {
@@ -63,7 +63,7 @@
   })
   let mailbox: Mailbox<Event | typeof TICK>
   return Effect.gen(function* () {
-    mailbox = yield* startMailbox({ handleBatch: runStep, onDefect, ...(gapMs && { gapMs }) })
+    mailbox = yield* startMailbox({ handleBatch, onDefect, ...(gapMs && { gapMs }) })
     yield* Effect.addFinalizer(() =>
       Effect.sync(() => {
         tickTimer.close()
