--- a/packages/dispatch/src/lib/DispatchMachine.takeover.test.ts
+++ b/packages/dispatch/src/lib/DispatchMachine.takeover.test.ts
@@ -59,8 +59,7 @@
     world.run(100)
     world.submit('a', 4)
     world.run(20)
-    // The receiving instance learns of the new leader at once, a round trip before the reports
-    // arrive.
+    // The entry learns of the new leader at once, a round trip before the reports arrive.
     world.elect(1, 500)
     world.run(1_500)
     assert.deepEqual(world.violations, [])
@@ -81,7 +80,7 @@
     for (const [task, starts] of world.startedTasks) assert.equal(starts, 1, task)
   })
 
-  it('starts no task of a job that was cancelled before a receiving instance resubmitted it', () => {
+  it('starts no task of a job that was cancelled before an entry resubmitted it', () => {
     const leader = new DispatchMachine({})
     leader.step(0, { kind: DispatchEventKind.BecomeLeader, term: 2, table: TABLE })
     const question = { requestId: '1', kind: JobQuestionKind.CANCEL, ...PLACE }
--- a/packages/dispatch/src/lib/discovery/DiscoveryTiming.ts
+++ b/packages/dispatch/src/lib/discovery/DiscoveryTiming.ts
@@ -29,8 +29,8 @@
 /**
  * Only the leader needs close monitoring, and only by instances without a voter. The leader sends
  * them heartbeats, three within the leader timeout, and none while its answers to jobs show the
- * same. If each ingress instance polled each voter host instead, the number of messages would grow
- * with the product of both.
+ * same. If each entry polled each voter host instead, the number of messages would grow with the
+ * product of both.
  *
  * The leader timeout is as long as an election, so requests are redirected about when the next
  * leader is elected.
--- a/packages/dispatch/src/lib/discovery/idleGroup.test.ts
+++ b/packages/dispatch/src/lib/discovery/idleGroup.test.ts
@@ -1,15 +1,15 @@
 /**
- * Guards against idle load that grows with ingress instances times dispatching instances.
+ * Guards against idle load that grows with entries times dispatching instances.
  *
  * Processes used to wake up and exchange messages at a fixed rate, whether or not there was work.
- * With 12 ingress and 6 dispatching instances on loopback and no jobs, an ingress instance woke up
- * 182 times a second and used 3.9 % of a core, a dispatching instance 304 times and 9.9 %. On sites
- * with 28 to 44 ingress instances, 245 endpoints and 6 dispatching instances, the leader's core was
- * therefore saturated under traffic: the delay from a job's arrival to the start of a task was
- * 41 ms (p50), against 6 ms on a small site. Too few requests were served in time, though hardly
- * any was refused or lost. On a slower machine all processes together used up their processor time,
- * and whole simulated days were aborted; a quiet day used more than half of its processor time
- * before its traffic began. Small sites showed no effect.
+ * With 12 entries and 6 dispatching instances on loopback and no jobs, an entry woke up 182 times a
+ * second and used 3.9 % of a core, a dispatching instance 304 times and 9.9 %. On sites with 28 to
+ * 44 entries, 245 endpoints and 6 dispatching instances, the leader's core was therefore saturated
+ * under traffic: the delay from a job's arrival to the start of a task was 41 ms (p50), against
+ * 6 ms on a small site. Too few requests were served in time, though hardly any was refused or
+ * lost. On a slower machine all processes together used up their processor time, and whole
+ * simulated days were aborted; a quiet day used more than half of its processor time before its
+ * traffic began. Small sites showed no effect.
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
@@ -106,14 +106,14 @@
 }
 
 describe('a large group of idle instances', () => {
-  it('has ingress instances that send a few messages per second', () => {
+  it('has entries that send a few messages per second', () => {
     const group = new IdleGroup(28)
     group.run(SETTLE_MS)
     const rate = group.rate('e0')
     assert.ok(rate <= 8, `${rate} messages a second`)
   })
 
-  it('costs its leader a few messages per second for each ingress instance', () => {
+  it('costs its leader a few messages per second for each entry', () => {
     const group = new IdleGroup(28)
     group.run(SETTLE_MS)
     const rate = group.rate('h0')
--- a/packages/dispatch/src/lib/jobs/JobRegistry.ts
+++ b/packages/dispatch/src/lib/jobs/JobRegistry.ts
@@ -58,7 +58,7 @@
 
   /**
    * Records the cancellation of a job that this leader does not know. An earlier leader may have
-   * had it, in which case an ingress instance may still submit it here.
+   * had it, in which case an entry may still submit it here.
    */
   recordCancelled(now: number, id: string): void {
     // An ended job keeps its verdict; otherwise a repeated request would run it again.
--- a/packages/dispatch/src/lib/scheduling/latestStart.ts
+++ b/packages/dispatch/src/lib/scheduling/latestStart.ts
@@ -3,7 +3,7 @@
 
 /**
  * Overhead of a job besides queueing and run time, in milliseconds: transit between caller,
- * receiving instance, leader and endpoint, the start order, and detection of the end.
+ * entry, leader and endpoint, the start order, and detection of the end.
  */
 const PATH_OVERHEAD_MS = 25
 /**
