--- a/packages/control/src/lib/voter/Election.ts
+++ b/packages/control/src/lib/voter/Election.ts
@@ -103,7 +103,7 @@
     const value = { term, diskId, lastIndex, lastTerm, preVote }
     for (const member of members) {
       if (member.diskId === diskId || !this.#core.rules.hasVote(member)) continue
-      this.#core.sendWhenDurable(member.instance, { case: 'voteRequest', value })
+      this.#core.sendWhenDurable(member.instance, { case: 'voteRequest', value: value })
     }
   }
 
@@ -114,7 +114,7 @@
     const isUpToDate = log.isOtherUpToDate(req.lastIndex, req.lastTerm)
     const granted = req.term > term && isUpToDate && !isLeader && !hasRecentLeader
     const value = { term: granted ? req.term : term, diskId, granted, preVote: true }
-    this.#core.send(from, { case: 'voteReply', value })
+    this.#core.send(from, { case: 'voteReply', value: value })
   }
 
   #answerVote(now: number, from: string, req: VoteRequest): void {
@@ -125,7 +125,7 @@
     if (granted && core.votedFor === '') core.setTerm(core.term, req.diskId)
     if (granted) this.#restartTimer(now)
     const value = { term: core.term, diskId: core.diskId, granted, preVote: false }
-    core.sendWhenDurable(from, { case: 'voteReply', value })
+    core.sendWhenDurable(from, { case: 'voteReply', value: value })
   }
 
   /** Starts the election timer; a voter that is the only member starts its election at once. */
