--- a/packages/storage/src/lib/file/DurableFile.ts
+++ b/packages/storage/src/lib/file/DurableFile.ts
@@ -10,7 +10,7 @@
 const HEADER_SIZE = 16
 const offsets = { magic: 0, version: 4, length: 8, checksum: 12 }
 
-/** The checksum covers the header before it and the content after it. */
+/** The checksum covers the header fields before it and the content after it. */
 function checksumOf(bytes: Uint8Array): number {
   const head = crc32(bytes.subarray(0, offsets.checksum))
   return crc32(bytes.subarray(HEADER_SIZE), head)
@@ -30,8 +30,10 @@
   const bytes = Buffer.from(stored.buffer, stored.byteOffset, stored.byteLength)
   const damaged = (what: string) => Effect.fail(storageError(StorageErrorKind.Damaged, name, what))
   if (bytes.length < HEADER_SIZE) return damaged(`the file has only ${bytes.length} bytes`)
-  if (bytes.readUInt32BE(offsets.magic) !== MAGIC) return damaged('the file has a foreign header')
-  // Every version keeps the place of the checksum, so damage is never taken for a newer version.
+  if (bytes.readUInt32BE(offsets.magic) !== MAGIC)
+    return damaged('the file does not start with the expected magic number')
+  // The checksum has the same offset in every version, so corruption is never mistaken for a newer
+  // version.
   if (bytes.readUInt32BE(offsets.checksum) !== checksumOf(bytes)) {
     return damaged('the checksum does not match')
   }
@@ -46,8 +48,8 @@
 /**
  * A small file that is replaced as a whole, such as a voter's term and vote, or a snapshot.
  *
- * After a failed write it is unknown which content a crash would leave, so reads and writes are
- * refused until a new object is made.
+ * After a failed operation it is unknown which content would survive a crash, so reads and writes
+ * are rejected until a new object is created.
  *
  * @public
  */
@@ -60,11 +62,12 @@
     private readonly name: string,
   ) {}
 
-  /** The content of the last write; undefined when there was none. */
+  /** The content of the last write; undefined if the file was never written. */
   read(): Effect.Effect<Uint8Array | undefined, StorageError> {
     return this.guarded(
       Effect.gen({ self: this }, function* () {
-        // A process may have died between rename and sync: what is read here must not revert.
+        // An earlier process may have died between rename and folder sync; without a sync here, a crash
+        // could revert the content after it was read.
         if (!this.nameIsSynced) yield* this.disk.syncFolder()
         this.nameIsSynced = true
         const stored = yield* this.disk.read(this.name)
@@ -74,19 +77,19 @@
     )
   }
 
-  /** Done when the content is on the disk; until then a crash leaves the old or the new one. */
+  /** Completes once the content is durable; a crash before that leaves the old or the new content. */
   write(content: Uint8Array): Effect.Effect<void, StorageError> {
     return this.guarded(Effect.suspend(() => replaceFile(this.disk, this.name, encode(content))))
   }
 
   private guarded<A>(run: Effect.Effect<A, StorageError>): Effect.Effect<A, StorageError> {
-    const noted = Effect.tapError(run, (err) =>
+    const recorded = Effect.tapError(run, (err) =>
       Effect.sync(() => {
         this.failure ??= err
       }),
     )
     return Effect.uninterruptible(
-      Effect.suspend(() => (this.failure === undefined ? noted : Effect.fail(this.refusal()))),
+      Effect.suspend(() => (this.failure === undefined ? recorded : Effect.fail(this.refusal()))),
     )
   }
 
--- a/packages/storage/src/lib/file/replaceFile.ts
+++ b/packages/storage/src/lib/file/replaceFile.ts
@@ -2,11 +2,11 @@
 import type { Disk } from '../disk/Disk'
 import type { StorageError } from '../errors/StorageError'
 
-/** Ending of files that are being written; what a crash leaves of them is never read. @internal */
+/** Suffix of files that are being written; leftovers after a crash are never read. @internal */
 export const TEMPORARY_SUFFIX = '.tmp'
 
 /**
- * Puts a file in place whole or not at all: write, sync, rename, sync the folder.
+ * Replaces a file atomically: write a temporary file, sync it, rename it, sync the folder.
  *
  * @internal
  */
--- a/packages/storage/src/lib/log/RecordLog.ts
+++ b/packages/storage/src/lib/log/RecordLog.ts
@@ -12,15 +12,15 @@
 
 /** @public */
 export interface RecordLogOptions {
-  /** A new segment is started once the last one has this many bytes. */
+  /** A new segment is started once the last one has reached this size. */
   readonly segmentBytes: number
-  /** Longest record, in bytes; it bounds what one sync has to wait for. */
+  /** Maximum record size in bytes; bounds how much data one sync has to flush. */
   readonly maxRecordBytes: number
 }
 
 /**
- * A segment is copied as a whole when records of it are dropped, so it stays small enough to be
- * copied within some tens of milliseconds.
+ * Dropping records from a segment rewrites the whole segment, so segments are kept small enough to
+ * be copied within some tens of milliseconds.
  *
  * @public
  */
@@ -38,15 +38,15 @@
 /**
  * Checksummed, length-prefixed records in a sequence of segment files.
  *
- * What was acknowledged is there after a crash; of what was not, a prefix may be. After a failed
- * operation the log refuses all others until it is opened again: what the disk then holds is
- * unknown, and a failed sync must not be repeated on the same file.
+ * Acknowledged records survive a crash; of the unacknowledged ones, a prefix may survive. After a
+ * failed operation the log rejects all others until it is reopened: the content of the disk is then
+ * unknown, and a failed sync must not be retried on the same file.
  *
  * @public
  */
 export class RecordLog {
-  private readonly turn = Semaphore.makeUnsafe(1)
-  private openBatch: Batch | undefined
+  private readonly mutex = Semaphore.makeUnsafe(1)
+  private pendingBatch: Batch | undefined
   private failure: StorageError | undefined
 
   private constructor(
@@ -54,14 +54,14 @@
     private readonly name: string,
     private readonly options: RecordLogOptions,
     private readonly segments: SegmentList,
-    /** The records as they were when the log was opened. */
+    /** The records that the log held when it was opened. */
     readonly records: readonly Uint8Array[],
   ) {}
 
   /**
-   * Opens a log and recovers it; makes it when there is none.
+   * Opens and recovers a log; creates it if it does not exist.
    *
-   * A torn end is cut off. Damage elsewhere is an error of kind `Damaged`.
+   * A torn tail is truncated. Corruption elsewhere is an error of kind `Damaged`.
    */
   static open(
     disk: Disk,
@@ -77,20 +77,21 @@
     })
   }
 
-  /** How many records the log holds now. */
+  /** Number of records in the log. */
   get length(): number {
     return this.segments.end - this.segments.start
   }
 
-  /** How many records were ever dropped from its front. */
+  /** Total number of records dropped from the front since the log was created. */
   get dropped(): number {
     return this.segments.start
   }
 
   /**
-   * Adds records. Done when they are synced; records of concurrent calls share one sync.
+   * Appends records and completes once they are synced. Concurrent calls share one sync (group
+   * commit).
    *
-   * A failed append may have stored a prefix of its records all the same.
+   * A failed append may still have stored a prefix of its records.
    */
   append(records: readonly Uint8Array[]): Effect.Effect<void, StorageError> {
     const tooLong = records.find((record) => record.length > this.options.maxRecordBytes)
@@ -98,18 +99,19 @@
       return this.misuse(`a record of ${tooLong.length} bytes is longer than the log allows`)
     }
     if (records.length === 0) return Effect.void
-    // Uninterruptible from the start: a batch whose caller has gone would wait for the next one.
+    // Uninterruptible from the start: if the caller were interrupted, its batch would stay unwritten
+    // until the next append.
     return Effect.uninterruptible(
       Effect.suspend(() => {
         const batch = this.joinBatch(records)
-        return this.turn.withPermit(Effect.suspend(() => batch.outcome ?? this.flush(batch)))
+        return this.mutex.withPermit(Effect.suspend(() => batch.outcome ?? this.flush(batch)))
       }),
     )
   }
 
-  /** Keeps the first `count` records. Done when the others are gone for good. */
+  /** Keeps the first `count` records; completes once the removal of the others is durable. */
   truncateAfter(count: number): Effect.Effect<void, StorageError> {
-    return this.inTurn(
+    return this.runExclusive(
       Effect.suspend(() => {
         if (!this.isCount(count)) return this.misuse(`cannot keep ${count} of ${this.length}`)
         if (count === this.length) return Effect.void
@@ -118,9 +120,9 @@
     )
   }
 
-  /** Removes the first `count` records, all of them or, on a crash before the end, none. */
+  /** Removes the first `count` records atomically: a crash before completion removes all or none. */
   dropFirst(count: number): Effect.Effect<void, StorageError> {
-    return this.inTurn(
+    return this.runExclusive(
       Effect.suspend(() => {
         if (!this.isCount(count)) return this.misuse(`cannot drop ${count} of ${this.length}`)
         if (count === 0) return Effect.void
@@ -129,16 +131,16 @@
     )
   }
 
-  /** Joins the batch that waits for its turn, or starts one. */
+  /** Adds records to the batch that waits for the mutex, or starts a new batch. */
   private joinBatch(records: readonly Uint8Array[]): Batch {
-    this.openBatch ??= { records: [], outcome: undefined }
-    this.openBatch.records.push(...records)
-    return this.openBatch
+    this.pendingBatch ??= { records: [], outcome: undefined }
+    this.pendingBatch.records.push(...records)
+    return this.pendingBatch
   }
 
   private flush(batch: Batch): Effect.Effect<void, StorageError> {
     return Effect.gen({ self: this }, function* () {
-      if (this.openBatch === batch) this.openBatch = undefined
+      if (this.pendingBatch === batch) this.pendingBatch = undefined
       const outcome = yield* Effect.exit(this.stopOnFailure(this.write(batch.records)))
       batch.outcome = outcome
       return yield* outcome
@@ -162,7 +164,7 @@
 
   private cutAfter(end: number): Effect.Effect<void, StorageError> {
     return Effect.gen({ self: this }, function* () {
-      // From the back and one by one: a crash in between must not leave a gap.
+      // Removed one by one from the end, so that a crash in between leaves no gap.
       while (this.segments.last.first > end) {
         yield* this.disk.remove(this.segments.last.name)
         yield* this.disk.syncFolder()
@@ -170,7 +172,8 @@
       }
       const last = this.segments.last
       const payloads = yield* readSegment(this.disk, last)
-      // A whole new file rather than a shorter old one: stale bytes can't come back behind its end.
+      // Writes a new file instead of truncating the old one, so that stale bytes cannot reappear after
+      // its end.
       const kept = payloads.slice(0, end - last.first)
       yield* this.placeSegment(last.first, this.segments.start, kept)
     })
@@ -178,18 +181,18 @@
 
   private dropBefore(start: number): Effect.Effect<void, StorageError> {
     return Effect.gen({ self: this }, function* () {
-      const border = this.segments.holding(start)
-      const payloads = yield* readSegment(this.disk, border)
-      // Its header carries the new floor, so this rename alone drops all records before it.
-      yield* this.placeSegment(start, start, payloads.slice(start - border.first))
-      // No sync after this: segments below the floor are ignored, should they come back.
+      const boundary = this.segments.holding(start)
+      const payloads = yield* readSegment(this.disk, boundary)
+      // The segment header holds the new floor, so this single rename drops all earlier records.
+      yield* this.placeSegment(start, start, payloads.slice(start - boundary.first))
+      // No folder sync is needed: recovery ignores segments below the floor if they reappear.
       for (const segment of this.segments.removeBefore(start)) {
         yield* this.disk.remove(segment.name)
       }
     })
   }
 
-  /** Writes a whole segment and puts it in place of one with the same first record. */
+  /** Writes a whole segment atomically, replacing any segment with the same first record. */
   private placeSegment(
     first: number,
     floor: number,
@@ -210,12 +213,12 @@
     return Number.isInteger(count) && count >= 0 && count <= this.length
   }
 
-  /** Runs after all that was asked before; appends asked for later don't join earlier ones. */
-  private inTurn(run: Effect.Effect<void, StorageError>): Effect.Effect<void, StorageError> {
+  /** Runs after all earlier operations; later appends do not join a batch queued before this one. */
+  private runExclusive(run: Effect.Effect<void, StorageError>): Effect.Effect<void, StorageError> {
     return Effect.uninterruptible(
       Effect.suspend(() => {
-        this.openBatch = undefined
-        return this.turn.withPermit(run)
+        this.pendingBatch = undefined
+        return this.mutex.withPermit(run)
       }),
     )
   }
--- a/packages/storage/src/lib/log/SegmentList.ts
+++ b/packages/storage/src/lib/log/SegmentList.ts
@@ -1,10 +1,10 @@
 import type { ScannedSegment } from './scanSegment'
 import { RECORD_HEADER_SIZE, SEGMENT_HEADER_SIZE } from './segmentFormat'
 
-/** One segment file as the log knows it. @internal */
+/** Metadata of one segment file. @internal */
 export interface Segment {
   readonly name: string
-  /** Number of its first record, counted from the start of the log. */
+  /** Sequence number of its first record. */
   readonly first: number
   readonly count: number
   /** Size of the file in bytes. */
@@ -26,35 +26,35 @@
     this.items = found.map(toSegment)
   }
 
-  /** The segment that is appended to. */
+  /** The segment that receives appends. */
   get last(): Segment {
     const last = this.items.at(-1)
     if (last === undefined) throw new Error('a log has at least one segment')
     return last
   }
 
-  /** Number of the first record. */
+  /** Sequence number of the first record. */
   get start(): number {
     return this.items[0]?.first ?? 0
   }
 
-  /** Number that the next record gets. */
+  /** Sequence number of the next record to be appended. */
   get end(): number {
     return this.last.first + this.last.count
   }
 
-  /** The segment that holds a record; the last one for the record to come. */
+  /** The segment that holds a record; the last segment if the record is not yet appended. */
   holding(sequence: number): Segment {
     return this.items.findLast((segment) => segment.first <= sequence) ?? this.last
   }
 
-  /** Notes that records were added to the last segment. */
+  /** Updates the last segment's metadata after an append. */
   grow(records: number, bytes: number): void {
     const last = this.last
     this.place({ ...last, count: last.count + records, size: last.size + bytes })
   }
 
-  /** Puts a segment where it belongs, in place of one with the same first record. */
+  /** Inserts a segment in order, replacing any segment with the same first record. */
   place(segment: Segment): void {
     const others = this.items.filter((item) => item.first !== segment.first)
     this.items = [...others, segment].sort((a, b) => a.first - b.first)
@@ -64,7 +64,7 @@
     this.items.pop()
   }
 
-  /** Takes out the segments that start before a record, and returns them. */
+  /** Removes and returns the segments that start before a record. */
   removeBefore(sequence: number): readonly Segment[] {
     const removed = this.items.filter((segment) => segment.first < sequence)
     this.items = this.items.filter((segment) => segment.first >= sequence)
--- a/packages/storage/src/lib/log/recoverSegments.ts
+++ b/packages/storage/src/lib/log/recoverSegments.ts
@@ -28,7 +28,7 @@
   })
 }
 
-/** Removes what a crash left of files that were being written. */
+/** Removes temporary files that a crash left behind. */
 function removeTemporaries(
   disk: Disk,
   log: string,
@@ -42,7 +42,7 @@
   return Effect.forEach(left, (file) => disk.remove(file), { discard: true })
 }
 
-/** Scans segments in order; each has to start where the one before it ends. */
+/** Scans segments in order; each must start at the record after the previous segment's last. */
 function scanInOrder(
   log: string,
   floor: number,
@@ -66,8 +66,8 @@
 }
 
 /**
- * Writes the last segment anew. What was read of it may stand in the page cache alone, after a
- * killed process or even after a failed sync, and the kernel would never write it again.
+ * Rewrites the last segment. After a killed process or a failed sync, the bytes just read may exist
+ * only in the page cache; after a failed sync the kernel would never write them back.
  */
 function rewriteLast(
   disk: Disk,
@@ -77,7 +77,7 @@
 }
 
 /**
- * Reads all segments of a log, cuts off a torn end and makes sure that the rest is on the disk.
+ * Reads all segments of a log, truncates a torn tail and makes the remaining records durable.
  *
  * @returns at least one segment, in order
  * @internal
--- a/packages/storage/src/lib/log/scanSegment.ts
+++ b/packages/storage/src/lib/log/scanSegment.ts
@@ -14,16 +14,16 @@
 } from './segmentFormat'
 import type { SegmentHeader } from './segmentFormat'
 
-/** What was found in one segment file. @internal */
+/** Content of one segment file. @internal */
 export interface ScannedSegment {
   readonly name: string
   readonly header: SegmentHeader
   readonly payloads: readonly Uint8Array[]
-  /** Bytes after the last whole record, which a crash left while they were being written. */
+  /** Bytes after the last complete record, left by a write that a crash interrupted. */
   readonly tornBytes: number
 }
 
-/** Reads the header, or says why it can't be read. @internal */
+/** Reads the header of a segment; the error tells why it cannot be read. @internal */
 export function readHeader(name: string, bytes: Buffer): Result<SegmentHeader, StorageError> {
   const header = decodeSegmentHeader(bytes)
   if (header === HeaderFault.Damaged) {
@@ -36,7 +36,8 @@
   return Ok(header)
 }
 
-/** Length of the sound record with this number at this place; undefined when there is none. */
+/** Payload length of the record at this offset; undefined unless it is valid and has this sequence
+ * number. */
 function soundLengthAt(bytes: Buffer, at: number, sequence: number): number | undefined {
   const record = peekRecordHeader(bytes, at)
   if (record?.sequence !== sequence) return undefined
@@ -44,9 +45,10 @@
 }
 
 /**
- * Whether a sound record of a batch that started after `from` follows. A batch starts only after
- * the one before it was synced, so `from` then lies in bytes that had been acknowledged. Sound
- * records of the same batch prove nothing: a disk may write the pages of one batch in any order.
+ * Whether a valid record of a batch that started after `from` follows. A batch is written only after
+ * the previous one was synced, so such a record shows that the bytes at `from` had been
+ * acknowledged. Valid records of the same batch prove nothing: a disk may write the pages of one
+ * batch in any order.
  */
 function isFollowedByLaterBatch(bytes: Buffer, from: number, sequence: number): boolean {
   for (let at = from + 1; at + RECORD_HEADER_SIZE <= bytes.length; at++) {
@@ -60,9 +62,9 @@
 }
 
 /**
- * Reads a segment and decides whether its end was torn by a crash, or damaged later.
+ * Reads a segment and distinguishes a tail torn by a crash from later corruption.
  *
- * @param isLast - only the last segment may have a torn end
+ * @param isLast - only the last segment may have a torn tail
  * @internal
  */
 export function scanSegment(
--- a/packages/storage/src/lib/log/segmentFormat.ts
+++ b/packages/storage/src/lib/log/segmentFormat.ts
@@ -9,20 +9,20 @@
 const headerOffsets = { magic: 0, version: 4, first: 8, floor: 16, syncedSize: 24, checksum: 28 }
 const recordOffsets = { length: 0, batchStart: 4, sequence: 8, checksum: 16 }
 
-/** What the header of a segment says. @internal */
+/** Decoded header of a segment. @internal */
 export interface SegmentHeader {
-  /** Number of its first record, counted from the start of the log. */
+  /** Sequence number of its first record. */
   readonly first: number
-  /** Records with lower numbers are dropped, wherever they still stand. */
+  /** Records with lower sequence numbers are dropped, even if a segment still contains them. */
   readonly floor: number
-  /** Bytes that were on the disk before the file got its name. */
+  /** Number of bytes that were synced before the file was renamed into place. */
   readonly syncedSize: number
 }
 
-/** What the header of a record says. @internal */
+/** Decoded header of a record. @internal */
 export interface RecordHeader {
   readonly length: number
-  /** Where in the file the batch starts that the record was written with. */
+  /** File offset of the start of the batch that contains the record. */
   readonly batchStart: number
   readonly sequence: number
 }
@@ -47,7 +47,8 @@
 export function decodeSegmentHeader(bytes: Buffer): SegmentHeader | HeaderFault {
   if (bytes.length < SEGMENT_HEADER_SIZE) return HeaderFault.Damaged
   if (bytes.readUInt32BE(headerOffsets.magic) !== SEGMENT_MAGIC) return HeaderFault.Damaged
-  // Every version keeps the place of the checksum, so damage is never taken for a newer version.
+  // The checksum has the same offset in every version, so corruption is never mistaken for a newer
+  // version.
   const checksum = crc32(bytes.subarray(0, headerOffsets.checksum))
   if (bytes.readUInt32BE(headerOffsets.checksum) !== checksum) return HeaderFault.Damaged
   if (bytes.readUInt32BE(headerOffsets.version) > SEGMENT_VERSION) return HeaderFault.TooNew
@@ -58,7 +59,7 @@
   }
 }
 
-/** The checksum covers the record's header before it and the payload after it. */
+/** The checksum covers the header fields before it and the payload after it. */
 function recordChecksum(record: Buffer): number {
   const head = crc32(record.subarray(0, recordOffsets.checksum))
   return crc32(record.subarray(RECORD_HEADER_SIZE), head)
@@ -74,7 +75,7 @@
   return bytes
 }
 
-/** Encodes records that are written together; the first one lands at `batchStart`. @internal */
+/** Encodes records that are written together; `batchStart` is the file offset of the first. @internal */
 export function encodeBatch(
   payloads: readonly Uint8Array[],
   batchStart: number,
@@ -85,7 +86,7 @@
   )
 }
 
-/** Encodes a segment that is put in place as a whole. @internal */
+/** Encodes a complete segment file. @internal */
 export function encodeSegment(
   first: number,
   floor: number,
@@ -96,7 +97,7 @@
   return Buffer.concat([encodeSegmentHeader({ first, floor, syncedSize }), batch])
 }
 
-/** Reads the header of a record without its checksum; undefined when the file is too short. */
+/** Reads a record header without verifying its checksum; undefined if the file is too short. */
 export function peekRecordHeader(bytes: Buffer, at: number): RecordHeader | undefined {
   if (at + RECORD_HEADER_SIZE > bytes.length) return undefined
   const length = bytes.readUInt32BE(at + recordOffsets.length)
@@ -108,7 +109,7 @@
   }
 }
 
-/** Whether the checksum of the record at this place is right. */
+/** Whether the checksum of the record at this offset matches. */
 export function isRecordSound(bytes: Buffer, at: number, length: number): boolean {
   const record = bytes.subarray(at, at + RECORD_HEADER_SIZE + length)
   return record.readUInt32BE(recordOffsets.checksum) === recordChecksum(record)
