--- a/packages/storage/src/index.ts
+++ b/packages/storage/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Files that survive: checksummed log, snapshots, disk faults.
+ * Crash-safe storage: checksummed record log, atomically replaced files, disk fault injection.
  *
  * @packageDocumentation
  */
--- a/packages/storage/src/lib/bench/measureAppends.ts
+++ b/packages/storage/src/lib/bench/measureAppends.ts
@@ -1,6 +1,6 @@
 /**
  * Measures synced appends on a real file: `npx tsx packages/storage/src/lib/bench/measureAppends.ts
- * [folder]`. The folder should be on the disk that is to be judged.
+ * [folder]`. The folder should be on the disk to be measured.
  */
 import fs from 'node:fs/promises'
 import os from 'node:os'
@@ -16,7 +16,7 @@
 const TRIAL_MS = 2000
 const SYNC_DELAYS_MS = [0, 4]
 
-/** Callers that each wait for their own append, and the records of one append. */
+/** Number of concurrent callers, and the number of records per append. */
 const loads = [
   { callers: 1, batch: 1 },
   { callers: 1, batch: 10 },
@@ -28,19 +28,19 @@
   return sorted[Math.floor(share * (sorted.length - 1))] ?? NaN
 }
 
-/** Appends one after the other until the time is over; gives how long each took. */
+/** Appends sequentially until the end time; adds the duration of each append to `durations`. */
 function appendUntil(
   log: RecordLog,
   batch: number,
   end: number,
-  taken: number[],
+  durations: number[],
 ): Effect.Effect<void, StorageError> {
   const records = Array.from({ length: batch }, () => Buffer.alloc(RECORD_BYTES, 1))
   return Effect.gen(function* () {
     while (performance.now() < end) {
       const start = performance.now()
       yield* log.append(records)
-      taken.push(performance.now() - start)
+      durations.push(performance.now() - start)
     }
   })
 }
@@ -50,25 +50,25 @@
   { callers, batch }: (typeof loads)[number],
   delay: number,
 ) {
-  const taken: number[] = []
+  const durations: number[] = []
   const start = performance.now()
-  const caller = appendUntil(log, batch, start + TRIAL_MS, taken)
+  const caller = appendUntil(log, batch, start + TRIAL_MS, durations)
   const all = Array.from({ length: callers }, () => caller)
   yield* Effect.all(all, { concurrency: 'unbounded' })
   const seconds = (performance.now() - start) / 1000
-  const sorted = taken.sort((a, b) => a - b)
+  const sorted = durations.sort((a, b) => a - b)
   return {
     'added ms': delay,
     callers,
     batch,
-    'appends/s': Math.round(taken.length / seconds),
-    'records/s': Math.round((taken.length * batch) / seconds),
+    'appends/s': Math.round(durations.length / seconds),
+    'records/s': Math.round((durations.length * batch) / seconds),
     'p50 ms': percentile(sorted, 0.5).toFixed(2),
     'p99 ms': percentile(sorted, 0.99).toFixed(2),
   }
 })
 
-/** How long recovery takes of what the trial has written. */
+/** Measures how long it takes to recover the log that the trial wrote. */
 const measureOpen = Effect.fn(function* (disk: SlowDisk, name: string) {
   const start = performance.now()
   yield* RecordLog.open(disk, name)
--- a/packages/storage/src/lib/disk/Disk.ts
+++ b/packages/storage/src/lib/disk/Disk.ts
@@ -1,7 +1,7 @@
 import type { Effect } from 'effect'
 import type { StorageError } from '../errors/StorageError'
 
-/** An operation of a {@link Disk}; fault tables and counters name them by it. @public */
+/** An operation of a {@link Disk}, as named in fault tables and counters. @public */
 export enum DiskOperation {
   Read = 'read',
   List = 'list',
@@ -16,33 +16,33 @@
 /**
  * The file operations of one data folder. Names are plain file names in it.
  *
- * Nothing lasts before it is synced: the bytes of a file by `sync`, and its name (new, renamed or
- * removed) by `syncFolder`.
+ * Nothing is durable before it is synced: `sync` covers the bytes of a file, `syncFolder` its name
+ * (created, renamed or removed).
  *
  * @public
  */
 export abstract class Disk {
-  /** The whole file; undefined when there is none. */
+  /** Reads a whole file; undefined if it does not exist. */
   abstract read(name: string): Effect.Effect<Uint8Array | undefined, StorageError>
 
   /** Names of all files, sorted. */
   abstract list(): Effect.Effect<readonly string[], StorageError>
 
-  /** Adds bytes at the end of a file that exists. */
+  /** Appends bytes to an existing file. */
   abstract append(name: string, bytes: Uint8Array): Effect.Effect<void, StorageError>
 
-  /** Done when the bytes and the size of the file are on the disk. */
+  /** Completes once the bytes and the size of the file are durable. */
   abstract sync(name: string): Effect.Effect<void, StorageError>
 
-  /** Renames a file, atomically in place of one that has the new name already. */
+  /** Renames a file, atomically replacing any file that has the new name. */
   abstract rename(from: string, to: string): Effect.Effect<void, StorageError>
 
-  /** Removes a file; no error when there is none. */
+  /** Removes a file; no error if it does not exist. */
   abstract remove(name: string): Effect.Effect<void, StorageError>
 
-  /** Done when all names of the folder are on the disk. */
+  /** Completes once all file names of the folder are durable. */
   abstract syncFolder(): Effect.Effect<void, StorageError>
 
-  /** Writes a new file, without syncing it; a file that had the name is removed first. */
+  /** Writes a new file without syncing it; an existing file of that name is removed first. */
   abstract writeNew(name: string, bytes: Uint8Array): Effect.Effect<void, StorageError>
 }
--- a/packages/storage/src/lib/disk/FaultPlan.ts
+++ b/packages/storage/src/lib/disk/FaultPlan.ts
@@ -2,12 +2,12 @@
 import type { StorageError } from '../errors/StorageError'
 import { DiskOperation } from './Disk'
 
-/** An operation that is to fail. @public */
+/** An injected failure of one operation. @public */
 export interface DiskFault {
   readonly operation: DiskOperation
-  /** Which one of its kind fails, counted from now; 1, the next one, by default. */
+  /** Which operation of this type fails, counted from now; defaults to 1, the next one. */
   readonly nth?: number
-  /** By default what a real disk would answer to this operation. */
+  /** Defaults to the kind of error that a real disk reports for this operation. */
   readonly kind?: StorageErrorKind
 }
 
@@ -17,7 +17,7 @@
   left: number
 }
 
-function usualKind(operation: DiskOperation): StorageErrorKind {
+function defaultKindOf(operation: DiskOperation): StorageErrorKind {
   if (operation === DiskOperation.Sync) return StorageErrorKind.SyncFailed
   if (operation === DiskOperation.SyncFolder) return StorageErrorKind.SyncFailed
   if (operation === DiskOperation.Read) return StorageErrorKind.ReadFailed
@@ -25,18 +25,18 @@
   return StorageErrorKind.WriteFailed
 }
 
-function isChange(operation: DiskOperation): boolean {
+function isMutation(operation: DiskOperation): boolean {
   return operation !== DiskOperation.Read && operation !== DiskOperation.List
 }
 
 /** Decides which operations of a {@link MemoryDisk} fail. @internal */
 export class FaultPlan {
-  /** Changes that were asked for since the start. */
+  /** Mutating operations requested since creation, including failed ones. */
   changes = 0
   private pending: PendingFault[] = []
   private changesLeft = Infinity
 
-  add({ operation, nth = 1, kind = usualKind(operation) }: DiskFault): void {
+  add({ operation, nth = 1, kind = defaultKindOf(operation) }: DiskFault): void {
     this.pending.push({ operation, kind, left: nth })
   }
 
@@ -49,14 +49,14 @@
     this.changesLeft = Infinity
   }
 
-  /** Counts an operation; the error that it ends with, if it is to fail. */
+  /** Counts an operation; returns its error if the operation is to fail. */
   check(operation: DiskOperation, file: string): StorageError | undefined {
-    if (isChange(operation)) {
+    if (isMutation(operation)) {
       this.changes++
       this.changesLeft--
     }
     if (this.changesLeft < 0) {
-      return storageError(usualKind(operation), file, `the disk stands still (${operation})`)
+      return storageError(defaultKindOf(operation), file, `the disk is halted (${operation})`)
     }
     for (const fault of this.pending) if (fault.operation === operation) fault.left--
     const due = this.pending.find((fault) => fault.operation === operation && fault.left === 0)
--- a/packages/storage/src/lib/disk/MemoryDisk.ts
+++ b/packages/storage/src/lib/disk/MemoryDisk.ts
@@ -9,11 +9,11 @@
 
 /** @public */
 export interface MemoryDiskOptions {
-  /** Decides what a crash leaves of unsynced data, and where failing writes stop. */
+  /** Seed for what a crash leaves of unsynced data, and for where failing writes stop. */
   readonly seed: number
-  /** How long each sync takes, in milliseconds. */
+  /** Duration of each sync in milliseconds. */
   readonly syncDelayMs: number
-  /** Bytes of all files together; more is answered with `DiskFull`. */
+  /** Limit on the total size of all files; writes beyond it fail with `DiskFull`. */
   readonly capacityBytes: number
 }
 
@@ -24,7 +24,7 @@
   capacityBytes: Infinity,
 }
 
-/** A change of names that is not yet on the disk. */
+/** A change of file names that is not yet synced. */
 interface NameChange {
   readonly removed: string
   readonly added?: { readonly name: string; readonly file: MemoryFile }
@@ -36,8 +36,8 @@
 }
 
 /**
- * A disk for tests and randomised runs. It keeps apart what reads show and what is synced: a
- * {@link MemoryDisk.crash} leaves the synced part and a random part of the rest.
+ * A simulated disk for tests and randomized runs. It tracks current and synced content separately:
+ * {@link MemoryDisk.crash} keeps the synced part and a random part of the rest.
  *
  * @public
  */
@@ -59,32 +59,32 @@
     this.random = seededRandom(merged.seed)
   }
 
-  /** Changes asked for so far, failed ones too; tests sweep over them with {@link haltAfter}. */
+  /** Mutating operations so far, with failed ones; tests sweep over them with {@link haltAfter}. */
   get changes(): number {
     return this.faults.changes
   }
 
-  /** Makes an operation fail, once. */
+  /** Makes one operation fail once. */
   fail(fault: DiskFault): void {
     this.faults.add(fault)
   }
 
-  /** Lets so many changes pass; then all operations fail until the next crash. */
+  /** Lets this many mutating operations pass; then all operations fail until the next crash. */
   haltAfter(changes: number): void {
     this.faults.haltAfter(changes)
   }
 
-  /** Takes back all planned faults; what they did stays. */
+  /** Removes all planned faults; the effects of past faults remain. */
   clearFaults(): void {
     this.faults.clear()
   }
 
-  /** Flips one byte of a file, also where it is synced. */
+  /** Inverts all bits of one byte of a file, synced or not. */
   flip(name: string, at: number): void {
     this.names.get(name)?.flip(at)
   }
 
-  /** Loses a random part of what is not synced, and clears planned faults. */
+  /** Loses a random part of the unsynced data and names, and clears planned faults. */
   crash(): void {
     this.crashes++
     this.faults.clear()
@@ -121,7 +121,7 @@
         file?.failSync()
         return Effect.fail(err)
       }
-      if (file === undefined) return Effect.fail(missing(name))
+      if (file === undefined) return Effect.fail(fileNotFound(name))
       const size = file.size
       return this.afterDelay(name, () => {
         file.sync(size)
@@ -132,7 +132,7 @@
   override rename(from: string, to: string): Effect.Effect<void, StorageError> {
     return this.attempt(DiskOperation.Rename, from, () => {
       const file = this.names.get(from)
-      if (file === undefined) return Effect.fail(missing(from))
+      if (file === undefined) return Effect.fail(fileNotFound(from))
       this.changeNames({ removed: from, added: { name: to, file } })
       return Effect.void
     })
@@ -147,10 +147,10 @@
 
   override syncFolder(): Effect.Effect<void, StorageError> {
     return this.attempt(DiskOperation.SyncFolder, '', () => {
-      const covered = new Map(this.names)
+      const snapshot = new Map(this.names)
       const count = this.unsyncedChanges.length
       return this.afterDelay('', () => {
-        this.syncedNames = covered
+        this.syncedNames = snapshot
         this.unsyncedChanges = this.unsyncedChanges.slice(count)
       })
     })
@@ -175,7 +175,7 @@
     })
   }
 
-  /** A write that fails has stored a random front part of its bytes. */
+  /** Writes bytes; a failing write stores a random prefix of them. */
   private write(
     operation: DiskOperation,
     name: string,
@@ -183,7 +183,7 @@
     bytes: Uint8Array,
   ): Effect.Effect<void, StorageError> {
     const err = this.faults.check(operation, name) ?? this.checkRoom(name, bytes.length)
-    if (file === undefined) return Effect.fail(missing(name))
+    if (file === undefined) return Effect.fail(fileNotFound(name))
     if (err === undefined) {
       file.append(bytes)
       return Effect.void
@@ -221,8 +221,8 @@
   }
 }
 
-function missing(name: string): StorageError {
-  return storageError(StorageErrorKind.WriteFailed, name, 'there is no such file')
+function fileNotFound(name: string): StorageError {
+  return storageError(StorageErrorKind.WriteFailed, name, 'the file does not exist')
 }
 
 function lostInCrash(name: string): StorageError {
--- a/packages/storage/src/lib/disk/MemoryFile.ts
+++ b/packages/storage/src/lib/disk/MemoryFile.ts
@@ -1,29 +1,29 @@
 import { exhaustive } from '@cherryhitch/model'
 
-/** The part that a disk writes whole or not at all; real ones have 512 bytes or more. */
+/** Unit that a disk writes atomically; real disks have sectors of 512 bytes or more. */
 const SECTOR_BYTES = 32
-const START_CAPACITY = 256
+const INITIAL_CAPACITY_BYTES = 256
 
 interface Range {
   readonly from: number
   readonly to: number
 }
 
-/** What a crash leaves of bytes that were not synced. */
+/** What remains of unsynced bytes after a crash. */
 enum Remains {
   Nothing = 'nothing',
   Prefix = 'prefix',
-  /** Some sectors in any place; the others are zeros. */
+  /** A random subset of the sectors; the others are zeroed. */
   Sectors = 'sectors',
 }
 
 const allRemains = Object.values(Remains)
 
-/** A file of a {@link MemoryDisk}: what reads show, and what a crash would leave. @internal */
+/** A {@link MemoryDisk} file: its current content and what would survive a crash. @internal */
 export class MemoryFile {
-  private buffer = Buffer.alloc(START_CAPACITY)
+  private buffer = Buffer.alloc(INITIAL_CAPACITY_BYTES)
   private syncedSize = 0
-  /** Bytes that a failed sync marked clean: later syncs don't write them either. */
+  /** Ranges that a failed sync marked clean: later syncs do not write them either. */
   private lost: Range[] = []
   size = 0
 
@@ -42,23 +42,23 @@
     return new Uint8Array(this.buffer.subarray(0, this.size))
   }
 
-  /** @param size - what was written when the sync started */
+  /** @param size - size of the file when the sync started */
   sync(size: number): void {
     this.syncedSize = Math.max(this.syncedSize, size)
   }
 
-  /** The kernel reports the error once, then takes the bytes for written. */
+  /** Simulates a kernel that reports the error once, then treats the bytes as written. */
   failSync(): void {
     if (this.size > this.syncedSize) this.lost.push({ from: this.syncedSize, to: this.size })
     this.syncedSize = this.size
   }
 
-  /** Keeps what was synced and a random part of what was not. */
+  /** Keeps the synced bytes and a random part of the unsynced ones. */
   crash(random: () => number): void {
-    const doubtful = [...this.lost, { from: this.syncedSize, to: this.size }]
+    const unsynced = [...this.lost, { from: this.syncedSize, to: this.size }]
     this.lost = []
-    for (const range of doubtful) {
-      // Nothing stands behind the last range, so that one can also get shorter.
+    for (const range of unsynced) {
+      // No bytes follow the last range, so the file may also be truncated there.
       const isLast = range.to === this.size
       const end = damage(this.buffer, range, random)
       if (isLast && random() < 0.5) this.size = end
@@ -66,13 +66,13 @@
     this.syncedSize = this.size
   }
 
-  /** Flips the bits of one byte, as a failing disk does. */
+  /** Inverts all bits of one byte, to simulate corruption on a failing disk. */
   flip(at: number): void {
     this.buffer.writeUInt8(this.buffer.readUInt8(at) ^ 0xff, at)
   }
 }
 
-/** Destroys a part of a range; returns where its intact front ends. */
+/** Zeroes a random part of a range; returns the offset at which the file may be truncated. */
 function damage(buffer: Buffer, { from, to }: Range, random: () => number): number {
   const remains = allRemains[Math.floor(random() * allRemains.length)]
   switch (remains) {
--- a/packages/storage/src/lib/disk/RealDisk.ts
+++ b/packages/storage/src/lib/disk/RealDisk.ts
@@ -6,7 +6,7 @@
 import { fromSystemError, systemErrorCode } from '../errors/fromSystemError'
 import { Disk } from './Disk'
 
-/** Open for adding at the end, without making the file. */
+/** Opens an existing file for appending; does not create it. */
 const APPEND_FLAGS = fs.constants.O_RDWR | fs.constants.O_APPEND
 
 async function writeWhole(handle: fs.FileHandle, bytes: Uint8Array): Promise<void> {
@@ -17,11 +17,11 @@
   }
 }
 
-/** A folder of the machine. It keeps files open between operations. @public */
+/** A folder of the local file system. Files stay open between operations. @public */
 export class RealDisk extends Disk {
   private readonly handles = new Map<string, fs.FileHandle>()
 
-  /** @param folder - path of a folder that exists */
+  /** @param folder - path of an existing folder */
   constructor(readonly folder: string) {
     super()
   }
@@ -52,7 +52,7 @@
 
   override sync(name: string): Effect.Effect<void, StorageError> {
     return this.attempt(name, StorageErrorKind.SyncFailed, async () => {
-      // Data and size are flushed by it; only times of access and change are left out.
+      // fdatasync flushes data and size; it only skips the access and modification times.
       await (await this.handleOf(name)).datasync()
     })
   }
@@ -89,12 +89,12 @@
     })
   }
 
-  /** Closes all files. The disk may be used again after it. */
+  /** Closes all files. The disk can still be used afterwards. */
   close(): Effect.Effect<void> {
     return Effect.promise(async () => {
       const open = [...this.handles.values()]
       this.handles.clear()
-      // What was acknowledged is synced, so an error of close loses nothing that was promised.
+      // Acknowledged writes are already synced, so an error on close loses none of them.
       await Promise.allSettled(open.map((handle) => handle.close()))
     })
   }
--- a/packages/storage/src/lib/disk/SlowDisk.ts
+++ b/packages/storage/src/lib/disk/SlowDisk.ts
@@ -2,7 +2,7 @@
 import type { StorageError } from '../errors/StorageError'
 import { Disk } from './Disk'
 
-/** Another disk whose syncs take longer, to measure commits as on the users' disks. @public */
+/** Wraps a disk and delays its syncs, to measure commits at users' sync latency. @public */
 export class SlowDisk extends Disk {
   /** @param syncDelayMs - added to each sync of a file or of the folder, in milliseconds */
   constructor(
--- a/packages/storage/src/lib/errors/StorageError.ts
+++ b/packages/storage/src/lib/errors/StorageError.ts
@@ -1,25 +1,25 @@
 import { Data } from 'effect'
 
-/** What went wrong with a data folder. @public */
+/** Category of a storage failure. @public */
 export enum StorageErrorKind {
   DiskFull = 'disk_full',
   SyncFailed = 'sync_failed',
   ReadFailed = 'read_failed',
   WriteFailed = 'write_failed',
   NotPermitted = 'not_permitted',
-  /** Stored bytes are not those that were written. */
+  /** Stored bytes differ from those that were written. */
   Damaged = 'damaged',
   /** Another process uses the data folder. */
   Locked = 'locked',
   /** Written by a newer version of the program. */
   TooNew = 'too_new',
-  /** An earlier operation failed, so this one was not tried. */
+  /** Not attempted because an earlier operation failed. */
   Stopped = 'stopped',
-  /** The call itself is wrong: a fault of the program. */
+  /** The call itself is invalid, which is a bug in the program. */
   Misused = 'misused',
 }
 
-const adviceOf: Readonly<Record<StorageErrorKind, string>> = {
+const adviceByKind: Readonly<Record<StorageErrorKind, string>> = {
   [StorageErrorKind.DiskFull]: 'Free space on the disk of the data folder, then restart.',
   [StorageErrorKind.SyncFailed]:
     'The disk did not confirm a write. Check the disk and the kernel log, then restart; replace the disk if it happens again.',
@@ -38,19 +38,19 @@
   [StorageErrorKind.Misused]: 'Report this message as a fault of the program.',
 }
 
-/** The only error of this package: its kind, the file, what was seen and what to do. @public */
+/** The only error type of this package: kind, file, observed failure and advice for the operator. @public */
 export class StorageError extends Data.TaggedError('StorageError')<{
   readonly kind: StorageErrorKind
-  /** File or folder, as named by the disk. */
+  /** File or folder name, as the disk reports it. */
   readonly file: string
-  /** What was seen, as a clause without a full stop. */
+  /** Description of the failure, as a clause without a full stop. */
   readonly detail: string
-  /** The operating system's error, if there was one. */
+  /** The underlying error, if there was one. */
   readonly cause?: unknown
 }> {
-  /** A sentence that tells an operator what to do. */
+  /** Advice for the operator. */
   get advice(): string {
-    return adviceOf[this.kind]
+    return adviceByKind[this.kind]
   }
 
   override get message(): string {
@@ -58,7 +58,7 @@
   }
 }
 
-/** Makes a {@link StorageError} without a cause. @internal */
+/** Creates a {@link StorageError} without a cause. @internal */
 export function storageError(kind: StorageErrorKind, file: string, detail: string): StorageError {
   return new StorageError({ kind, file, detail })
 }
--- a/packages/storage/src/lib/errors/fromSystemError.ts
+++ b/packages/storage/src/lib/errors/fromSystemError.ts
@@ -1,6 +1,6 @@
 import { StorageError, StorageErrorKind } from './StorageError'
 
-const kindOfCode: Readonly<Record<string, StorageErrorKind>> = {
+const kindByCode: Readonly<Record<string, StorageErrorKind>> = {
   ENOSPC: StorageErrorKind.DiskFull,
   EDQUOT: StorageErrorKind.DiskFull,
   EACCES: StorageErrorKind.NotPermitted,
@@ -15,9 +15,9 @@
 }
 
 /**
- * Turns an error of the operating system into one of this package.
+ * Converts an operating system error to a {@link StorageError}.
  *
- * @param fallback - the kind for codes that have no kind of their own
+ * @param fallback - kind for error codes without a specific kind
  * @internal
  */
 export function fromSystemError(
@@ -27,7 +27,7 @@
 ): StorageError {
   if (err instanceof StorageError) return err
   const code = systemErrorCode(err)
-  const kind = (code === undefined ? undefined : kindOfCode[code]) ?? fallback
+  const kind = (code === undefined ? undefined : kindByCode[code]) ?? fallback
   const detail = err instanceof Error ? err.message : String(err)
   return new StorageError({ kind, file, detail, cause: err })
 }
--- a/packages/storage/src/lib/file/DurableFile.ts
+++ b/packages/storage/src/lib/file/DurableFile.ts
@@ -66,8 +66,8 @@
   read(): Effect.Effect<Uint8Array | undefined, StorageError> {
     return this.guarded(
       Effect.gen({ self: this }, function* () {
-        // An earlier process may have died between rename and folder sync; without a sync here, a crash
-        // could revert the content after it was read.
+        // An earlier process may have died between rename and folder sync; without a sync here, a
+        // crash could revert the content after it was read.
         if (!this.nameIsSynced) yield* this.disk.syncFolder()
         this.nameIsSynced = true
         const stored = yield* this.disk.read(this.name)
@@ -77,7 +77,7 @@
     )
   }
 
-  /** Completes once the content is durable; a crash before that leaves the old or the new content. */
+  /** Completes once the content is durable; an earlier crash leaves the old or the new content. */
   write(content: Uint8Array): Effect.Effect<void, StorageError> {
     return this.guarded(Effect.suspend(() => replaceFile(this.disk, this.name, encode(content))))
   }
--- a/packages/storage/src/lib/folder/lockFile.ts
+++ b/packages/storage/src/lib/folder/lockFile.ts
@@ -10,10 +10,10 @@
 
 const lockPattern = /^lock\.(\d{1,15})$/
 
-/** Keeps apart several openings in one process. */
+/** Makes temporary file names unique when one process opens several folders. */
 let openings = 0
 
-/** A lock that was taken, or the process that has it. */
+/** The acquired lock, or the process that holds it. */
 type Outcome =
   | { readonly taken: true; readonly number: number }
   | { readonly taken: false; readonly holder: ProcessIdentity }
@@ -27,7 +27,7 @@
   return names.map((name) => Number(lockPattern.exec(name)?.[1] ?? 0)).filter((n) => n > 0)
 }
 
-/** Who has a lock; undefined when it is released, gone or unreadable. */
+/** The process that holds a lock; undefined if the lock is released, missing or unreadable. */
 async function readHolder(lock: string): Promise<ProcessIdentity | undefined> {
   const text = await fs.readFile(lock, 'utf8').catch(() => '')
   try {
@@ -38,7 +38,7 @@
   }
 }
 
-/** Gives a finished file the name of a lock; false when another process has made that lock. */
+/** Hard-links a fully written file as the lock; false if another process created that lock first. */
 async function linkLock(own: string, lock: string): Promise<boolean> {
   try {
     await fs.link(own, lock)
@@ -50,13 +50,13 @@
 }
 
 /**
- * Tries to make the lock that follows the highest one.
+ * Tries to create the lock file with the next number after the highest one.
  *
- * The highest one is never removed and its holder never comes back to life, so at most one
- * process makes the next. One that made a lower number, having listed the folder too early, sees
- * the higher one when it looks again.
+ * The highest lock is never removed and a dead holder never runs again, so at most one process
+ * creates the next number. A process that created a lower number from an outdated listing sees the
+ * higher one when it lists the folder again.
  *
- * @returns undefined when another process was quicker: look again
+ * @returns undefined if another process was faster; the caller must retry
  */
 async function takeNext(folder: string, own: string): Promise<Outcome | undefined> {
   const highest = Math.max(0, ...(await listLocks(folder)))
@@ -88,8 +88,8 @@
 }
 
 /**
- * Locks a data folder for this process until the scope ends. The lock of a dead process, or of
- * one from before the machine's last start, is taken over. A released lock stays as an empty file.
+ * Locks a data folder for this process until the scope closes. The lock of a dead process, or of
+ * one from before the last boot, is taken over. A released lock remains as an empty file.
  *
  * @internal
  */
@@ -103,7 +103,7 @@
     const detail = `the data folder is in use by process ${outcome.holder.pid}`
     return yield* Effect.fail(storageError(StorageErrorKind.Locked, folder, detail))
   })
-  // An error here leaves a lock whose holder is dead soon, which the next process takes over.
+  // An error here leaves the lock in place; the next process takes it over once this one exits.
   return Effect.acquireRelease(acquire, (number) =>
     Effect.promise(() => fs.truncate(lockPath(folder, number)).catch(() => undefined)),
   )
--- a/packages/storage/src/lib/folder/openDataFolder.ts
+++ b/packages/storage/src/lib/folder/openDataFolder.ts
@@ -13,13 +13,13 @@
   readonly disk: RealDisk
 }
 
-/** Makes the folder, and sees to it that its name in the parent folder lasts. */
-function makeFolder(folder: string): Effect.Effect<void, StorageError> {
+/** Creates the folder and syncs its parent, so that the new folder entry is durable. */
+function createFolder(folder: string): Effect.Effect<void, StorageError> {
   return Effect.tryPromise({
     try: async () => {
-      const made = await fs.mkdir(folder, { recursive: true })
-      if (made === undefined) return
-      const parent = await fs.open(path.dirname(made), 'r')
+      const created = await fs.mkdir(folder, { recursive: true })
+      if (created === undefined) return
+      const parent = await fs.open(path.dirname(created), 'r')
       await parent.sync().finally(() => parent.close())
     },
     catch: (err) => fromSystemError(err, folder, StorageErrorKind.WriteFailed),
@@ -27,10 +27,10 @@
 }
 
 /**
- * Opens the data folder of an instance: makes it when it is missing and locks it against other
- * processes. Lock and open files are released with the scope.
+ * Opens the data folder of an instance: creates it if missing and locks it against other processes.
+ * The lock and open files are released when the scope closes.
  *
- * @param folder - path of the folder; its parents are made too
+ * @param folder - path of the folder; missing parents are created
  * @public
  */
 export function openDataFolder(
@@ -38,7 +38,7 @@
 ): Effect.Effect<DataFolder, StorageError, Scope.Scope> {
   return Effect.gen(function* () {
     const absolute = path.resolve(folder)
-    yield* makeFolder(absolute)
+    yield* createFolder(absolute)
     yield* acquireLock(absolute)
     const disk = new RealDisk(absolute)
     yield* Effect.addFinalizer(() => disk.close())
--- a/packages/storage/src/lib/folder/processIdentity.ts
+++ b/packages/storage/src/lib/folder/processIdentity.ts
@@ -1,11 +1,11 @@
 import fs from 'node:fs/promises'
 
-/** Tells one run of a process from another one that got the same number later. @internal */
+/** Identifies a process across PID reuse. @internal */
 export interface ProcessIdentity {
   readonly pid: number
-  /** When it started, in the kernel's own unit; empty where that can't be read. */
+  /** Start time in clock ticks, as the kernel reports it; empty where it cannot be read. */
   readonly startedAt: string
-  /** Changes with each start of the machine; empty where that can't be read. */
+  /** Boot ID, which changes with each boot of the machine; empty where it cannot be read. */
   readonly machineBoot: string
 }
 
@@ -17,15 +17,15 @@
   return fs.readFile(file, 'utf8').catch(() => '')
 }
 
-/** Start time of a process; empty when there is none or the system doesn't tell. */
+/** Start time of a process; empty if there is no such process or the system does not expose it. */
 async function startTimeOf(pid: number): Promise<string> {
   const stat = await readOrEmpty(`/proc/${pid}/stat`)
-  // The command stands in brackets and may hold any character, brackets too.
+  // The command is in parentheses and may itself contain any character, also parentheses.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ')
   return fields[START_TIME_FIELD] ?? ''
 }
 
-/** The identity of a process that runs now. @internal */
+/** Reads the identity of a running process. @internal */
 export async function identify(pid: number): Promise<ProcessIdentity> {
   const boot = await readOrEmpty(BOOT_ID_FILE)
   return { pid, startedAt: await startTimeOf(pid), machineBoot: boot.trim() }
@@ -36,12 +36,12 @@
     process.kill(pid, 0)
     return true
   } catch (err) {
-    // Without the right to signal it, it is there all the same.
+    // EPERM means that the process exists but this user may not signal it.
     return err instanceof Error && 'code' in err && err.code === 'EPERM'
   }
 }
 
-/** Whether the very process still runs, not another one under its number. @internal */
+/** Whether this process still runs, rather than another one with the same PID. @internal */
 export async function isAlive(holder: ProcessIdentity): Promise<boolean> {
   if (!exists(holder.pid)) return false
   const now = await identify(holder.pid)
--- a/packages/storage/src/lib/log/RecordLog.ts
+++ b/packages/storage/src/lib/log/RecordLog.ts
@@ -99,8 +99,8 @@
       return this.misuse(`a record of ${tooLong.length} bytes is longer than the log allows`)
     }
     if (records.length === 0) return Effect.void
-    // Uninterruptible from the start: if the caller were interrupted, its batch would stay unwritten
-    // until the next append.
+    // Uninterruptible from the start: if the caller were interrupted, its batch would stay
+    // unwritten until the next append.
     return Effect.uninterruptible(
       Effect.suspend(() => {
         const batch = this.joinBatch(records)
@@ -120,7 +120,7 @@
     )
   }
 
-  /** Removes the first `count` records atomically: a crash before completion removes all or none. */
+  /** Removes the first `count` records atomically: after a crash, all or none are removed. */
   dropFirst(count: number): Effect.Effect<void, StorageError> {
     return this.runExclusive(
       Effect.suspend(() => {
@@ -172,8 +172,8 @@
       }
       const last = this.segments.last
       const payloads = yield* readSegment(this.disk, last)
-      // Writes a new file instead of truncating the old one, so that stale bytes cannot reappear after
-      // its end.
+      // Writes a new file instead of truncating the old one, so that stale bytes cannot reappear
+      // after its end.
       const kept = payloads.slice(0, end - last.first)
       yield* this.placeSegment(last.first, this.segments.start, kept)
     })
@@ -213,7 +213,7 @@
     return Number.isInteger(count) && count >= 0 && count <= this.length
   }
 
-  /** Runs after all earlier operations; later appends do not join a batch queued before this one. */
+  /** Runs after all earlier operations; later appends do not join a batch queued before it. */
   private runExclusive(run: Effect.Effect<void, StorageError>): Effect.Effect<void, StorageError> {
     return Effect.uninterruptible(
       Effect.suspend(() => {
--- a/packages/storage/src/lib/log/scanSegment.ts
+++ b/packages/storage/src/lib/log/scanSegment.ts
@@ -9,7 +9,7 @@
   RECORD_HEADER_SIZE,
   SEGMENT_HEADER_SIZE,
   decodeSegmentHeader,
-  isRecordSound,
+  isRecordValid,
   peekRecordHeader,
 } from './segmentFormat'
 import type { SegmentHeader } from './segmentFormat'
@@ -38,15 +38,15 @@
 
 /** Payload length of the record at this offset; undefined unless it is valid and has this sequence
  * number. */
-function soundLengthAt(bytes: Buffer, at: number, sequence: number): number | undefined {
+function validLengthAt(bytes: Buffer, at: number, sequence: number): number | undefined {
   const record = peekRecordHeader(bytes, at)
   if (record?.sequence !== sequence) return undefined
-  return isRecordSound(bytes, at, record.length) ? record.length : undefined
+  return isRecordValid(bytes, at, record.length) ? record.length : undefined
 }
 
 /**
- * Whether a valid record of a batch that started after `from` follows. A batch is written only after
- * the previous one was synced, so such a record shows that the bytes at `from` had been
+ * Whether a valid record of a batch that started after `from` follows. A batch is written only
+ * after the previous one was synced, so such a record shows that the bytes at `from` had been
  * acknowledged. Valid records of the same batch prove nothing: a disk may write the pages of one
  * batch in any order.
  */
@@ -56,7 +56,7 @@
     if (record === undefined) continue
     if (record.batchStart <= from || record.batchStart > at) continue
     if (record.sequence <= sequence || record.sequence > sequence + bytes.length) continue
-    if (isRecordSound(bytes, at, record.length)) return true
+    if (isRecordValid(bytes, at, record.length)) return true
   }
   return false
 }
@@ -78,7 +78,7 @@
   const payloads: Uint8Array[] = []
   let at = SEGMENT_HEADER_SIZE
   while (at < bytes.length) {
-    const length = soundLengthAt(bytes, at, first + payloads.length)
+    const length = validLengthAt(bytes, at, first + payloads.length)
     if (length === undefined) break
     const start = at + RECORD_HEADER_SIZE
     payloads.push(bytes.subarray(start, start + length))
--- a/packages/storage/src/lib/log/segmentFormat.ts
+++ b/packages/storage/src/lib/log/segmentFormat.ts
@@ -75,7 +75,7 @@
   return bytes
 }
 
-/** Encodes records that are written together; `batchStart` is the file offset of the first. @internal */
+/** Encodes records written together; `batchStart` is the first one's file offset. @internal */
 export function encodeBatch(
   payloads: readonly Uint8Array[],
   batchStart: number,
@@ -110,7 +110,7 @@
 }
 
 /** Whether the checksum of the record at this offset matches. */
-export function isRecordSound(bytes: Buffer, at: number, length: number): boolean {
+export function isRecordValid(bytes: Buffer, at: number, length: number): boolean {
   const record = bytes.subarray(at, at + RECORD_HEADER_SIZE + length)
   return record.readUInt32BE(recordOffsets.checksum) === recordChecksum(record)
 }
--- a/packages/storage/src/lib/migrations/runMigrations.ts
+++ b/packages/storage/src/lib/migrations/runMigrations.ts
@@ -3,16 +3,16 @@
 import { StorageErrorKind, storageError } from '../errors/StorageError'
 import type { StorageError } from '../errors/StorageError'
 
-/** One step of a stored record's format, from a version to the next one. @public */
+/** Converts a stored record from one format version to the next. @public */
 export interface Migration {
-  /** The version that it reads; it writes the one after it. */
+  /** The version that it reads; it writes the following version. */
   readonly from: number
-  /** What changes, for the log. */
+  /** Description of the change, for log output. */
   readonly description: string
   readonly migrate: (content: Uint8Array) => Uint8Array
 }
 
-/** Content of a stored record with the version of its format. @internal */
+/** Content of a stored record and its format version. @internal */
 export interface VersionedContent {
   readonly version: number
   readonly content: Uint8Array
@@ -20,12 +20,12 @@
 
 const VERSION_SIZE = 2
 
-/** The version that a list of migrations leads to, which is the one to write. @internal */
+/** The version that a list of migrations produces, which is the one to write. @internal */
 export function newestVersion(migrations: readonly Migration[], oldest = 1): number {
   return migrations.reduce((version, { from }) => Math.max(version, from + 1), oldest)
 }
 
-/** Puts the version before the content. @internal */
+/** Prefixes the content with its version. @internal */
 export function packVersioned({ version, content }: VersionedContent): Uint8Array {
   const bytes = Buffer.alloc(VERSION_SIZE + content.length)
   bytes.writeUInt16BE(version)
@@ -46,12 +46,12 @@
 }
 
 /**
- * Brings a stored record to the newest version.
+ * Migrates a stored record to the newest version.
  *
  * @param migrations - without gaps; the order of the list does not matter
  * @param where - names the record in errors
  * @returns the content; an error of kind `TooNew` for a version above the newest, of kind
- *   `Damaged` for one that no migration leads on from
+ *   `Damaged` if a migration is missing
  * @internal
  */
 export function runMigrations(
@@ -76,17 +76,17 @@
   return Ok(content)
 }
 
-/** A record as it is to be stored: content of the newest format, and its version. @public */
+/** Encodes a record for storage: content in the newest format, prefixed with its version. @public */
 export function packNewest(content: Uint8Array, migrations: readonly Migration[]): Uint8Array {
   return packVersioned({ version: newestVersion(migrations), content })
 }
 
 /**
- * The content of a stored record in the newest format.
+ * Decodes a stored record and migrates its content to the newest format.
  *
  * @param migrations - without gaps; the order of the list does not matter
  * @param where - names the record in errors
- * @returns the content; an error of kind `Damaged` or `TooNew` for a record that can't be read
+ * @returns the content; an error of kind `Damaged` or `TooNew` for a record that cannot be read
  * @public
  */
 export function unpackNewest(
--- a/packages/storage/src/lib/testing/storageFixture.ts
+++ b/packages/storage/src/lib/testing/storageFixture.ts
@@ -3,7 +3,7 @@
 import type { StorageError } from '../errors/StorageError'
 import { RecordLog } from '../log/RecordLog'
 
-/** Small enough that a handful of records fills several segments. */
+/** Small enough that a few records fill several segments. */
 export const SMALL_SEGMENTS = { segmentBytes: 80 }
 
 export const LOG_NAME = 'log'
@@ -12,10 +12,10 @@
   return Effect.runPromise(effect)
 }
 
-/** The error that an effect ends with. */
+/** Runs an effect that must fail, and returns its error. */
 export async function errorOf(effect: Effect.Effect<unknown, StorageError>): Promise<StorageError> {
   const outcome = await Effect.runPromise(Effect.result(effect))
-  if (Result.isSuccess(outcome)) throw new Error('it should have failed')
+  if (Result.isSuccess(outcome)) throw new Error('expected the effect to fail, but it succeeded')
   return outcome.failure
 }
 
@@ -31,7 +31,7 @@
   return run(RecordLog.open(disk, LOG_NAME, SMALL_SEGMENTS))
 }
 
-/** Opens the log anew, as a started process does, and gives what it holds. */
+/** Reopens the log, as after a process restart, and returns its records. */
 export async function readLog(disk: Disk): Promise<string[]> {
   return toTexts((await openLog(disk)).records)
 }
