--- a/packages/storage/src/lib/disk/Disk.test.ts
+++ b/packages/storage/src/lib/disk/Disk.test.ts
@@ -44,7 +44,7 @@
       assert.equal(await textOf(disk, 'a'), 'one two')
     })
 
-    it('puts a file in place of another one, and appends to the new one', async () => {
+    it('renames a file over another one, and appends to it', async () => {
       const disk = await make()
       await run(disk.writeNew('a', Buffer.from('old')))
       await run(disk.append('a', Buffer.from('er')))
@@ -55,20 +55,20 @@
       assert.deepEqual(await run(disk.list()), ['a'])
     })
 
-    it('writes a file anew from its start', async () => {
+    it('replaces an existing file when it is written as new', async () => {
       const disk = await make()
       await run(disk.writeNew('a', Buffer.from('a long one')))
       await run(disk.writeNew('a', Buffer.from('short')))
       assert.equal(await textOf(disk, 'a'), 'short')
     })
 
-    it('takes a missing file as one that is removed already', async () => {
+    it('treats the removal of a missing file as done', async () => {
       const disk = await make()
       await run(disk.remove('a'))
       assert.equal(await textOf(disk, 'a'), undefined)
     })
 
-    it('refuses to append to, sync or rename a missing file', async () => {
+    it('rejects attempts to append to, sync or rename a missing file', async () => {
       const disk = await make()
       assert.equal(
         (await errorOf(disk.append('a', Buffer.from('x')))).kind,
@@ -79,7 +79,7 @@
       assert.deepEqual(await run(disk.list()), [])
     })
 
-    it('carries a log that is opened again', async () => {
+    it('stores a log that can be reopened', async () => {
       const disk = await make()
       const log = await openLog(disk)
       await appendAll(log, ['a', 'b'], ['c', 'd'], ['e', 'f'], ['g'])
--- a/packages/storage/src/lib/errors/StorageError.ts
+++ b/packages/storage/src/lib/errors/StorageError.ts
@@ -38,7 +38,7 @@
   [StorageErrorKind.Misused]: 'Report this message as a fault of the program.',
 }
 
-/** The only error type of this package: kind, file, observed failure and advice for the operator. @public */
+/** The only error type of this package: kind, file, failure and advice to the operator. @public */
 export class StorageError extends Data.TaggedError('StorageError')<{
   readonly kind: StorageErrorKind
   /** File or folder name, as the disk reports it. */
--- a/packages/storage/src/lib/file/DurableFile.test.ts
+++ b/packages/storage/src/lib/file/DurableFile.test.ts
@@ -9,7 +9,7 @@
 
 const NAME = 'vote'
 const SEEDS = 16
-/** Write, sync, rename, sync of the folder. */
+/** Disk operations of one write: write, sync, rename, folder sync. */
 const STEPS = 4
 
 async function readText(disk: MemoryDisk): Promise<string | undefined> {
@@ -29,7 +29,7 @@
     assert.equal(await readText(new MemoryDisk()), undefined)
   })
 
-  it('keeps the last content over a crash', async () => {
+  it('keeps the last content across a crash', async () => {
     for (let seed = 0; seed < SEEDS; seed++) {
       const { disk, file } = await diskWithOld(seed)
       await run(file.write(Buffer.from('new')))
@@ -39,7 +39,7 @@
   })
 
   for (let steps = 0; steps < STEPS; steps++) {
-    it(`has the old or the new content after a crash behind step ${steps} of a write`, async () => {
+    it(`has the old or the new content after a crash following step ${steps} of a write`, async () => {
       const found = new Set<string | undefined>()
       for (let seed = 0; seed < SEEDS; seed++) {
         const { disk, file } = await diskWithOld(seed)
@@ -48,7 +48,7 @@
         disk.crash()
         found.add(await readText(disk))
       }
-      // Only a rename that took place can bring the new content in.
+      // The new content can only appear once the rename was performed.
       const allowed = steps < 3 ? ['old'] : ['new', 'old']
       assert.deepEqual([...found].sort(), allowed)
     })
@@ -61,7 +61,7 @@
     DiskOperation.SyncFolder,
   ]
   for (const operation of operations) {
-    it(`refuses all that follows a failed ${operation}; what a restart reads stays`, async () => {
+    it(`rejects all operations after a failed ${operation}; what a restart reads is durable`, async () => {
       for (let seed = 0; seed < SEEDS; seed++) {
         const { disk, file } = await diskWithOld(seed)
         disk.fail({ operation })
@@ -82,7 +82,7 @@
     assert.equal(await readText(disk), 'old')
   })
 
-  it('refuses a flipped or a missing byte at any place', async () => {
+  it('rejects a corrupted or missing byte at any offset', async () => {
     const { disk } = await diskWithOld(1)
     const whole = (await run(disk.read(NAME))) ?? new Uint8Array()
     for (let at = 0; at < whole.length; at++) {
--- a/packages/storage/src/lib/folder/lockFile.ts
+++ b/packages/storage/src/lib/folder/lockFile.ts
@@ -38,7 +38,7 @@
   }
 }
 
-/** Hard-links a fully written file as the lock; false if another process created that lock first. */
+/** Hard-links a fully written file as the lock; false if another process was faster. */
 async function linkLock(own: string, lock: string): Promise<boolean> {
   try {
     await fs.link(own, lock)
--- a/packages/storage/src/lib/folder/openDataFolder.test.ts
+++ b/packages/storage/src/lib/folder/openDataFolder.test.ts
@@ -9,7 +9,7 @@
 import { openDataFolder } from './openDataFolder'
 import { identify } from './processIdentity'
 
-/** No process has a number this high: the kernel's limit is 2^22. */
+/** No process has a PID this high: the kernel's limit is 2^22. */
 const DEAD_PID = 2 ** 22 + 1
 
 const open = (folder: string) => Effect.scoped(Effect.asVoid(openDataFolder(folder)))
@@ -21,7 +21,7 @@
   })
   after(() => fs.rm(root, { recursive: true, force: true }))
 
-  it('makes the folder and its parents, and leaves no more than one released lock', async () => {
+  it('creates the folder and its parents, and leaves at most one released lock', async () => {
     const folder = path.join(root, 'a', 'b')
     for (let opening = 1; opening <= 3; opening++) {
       await run(open(folder))
@@ -29,7 +29,7 @@
     }
   })
 
-  it('refuses a second opening with who holds it and what to do', async () => {
+  it('rejects a second opening, naming the holder and the remedy', async () => {
     const folder = path.join(root, 'held')
     const twice = Effect.andThen(openDataFolder(folder), Effect.asVoid(openDataFolder(folder)))
     const err = await errorOf(Effect.scoped(twice))
@@ -54,14 +54,14 @@
     })
   }
 
-  it('takes over a lock file that says nothing', async () => {
+  it('takes over an unreadable lock file', async () => {
     const folder = path.join(root, 'empty-lock')
     await fs.mkdir(folder)
     await fs.writeFile(path.join(folder, 'lock.7'), '')
     await run(open(folder))
   })
 
-  it('lets no two of many openings at once have the folder', async () => {
+  it('lets at most one of many concurrent openings have the folder', async () => {
     const folder = path.join(root, 'race')
     await fs.mkdir(folder)
     const stale = { ...(await identify(process.pid)), pid: DEAD_PID }
@@ -84,7 +84,7 @@
     assert.equal(most, 1)
   })
 
-  it('says so when the path is a file', async () => {
+  it('reports an error when the path is a file', async () => {
     const file = path.join(root, 'file')
     await fs.writeFile(file, '')
     assert.equal((await errorOf(open(file))).kind, StorageErrorKind.WriteFailed)
--- a/packages/storage/src/lib/log/RecordLog.faults.test.ts
+++ b/packages/storage/src/lib/log/RecordLog.faults.test.ts
@@ -10,13 +10,13 @@
 const SEEDS = 8
 const start = ['a', 'b', 'c', 'd', 'e', 'f', 'g']
 
-/** One change of a log, and every state that a crash in the middle of it may leave. */
+/** Log operations, each with every state that a crash during it may leave. */
 const changes = [
   {
     name: 'an append',
     ask: (log: RecordLog) => log.append(toRecords(['x', 'y'])),
     done: [...start, 'x', 'y'],
-    partly: [[...start, 'x']],
+    partial: [[...start, 'x']],
   },
   {
     name: 'an append that starts a segment',
@@ -26,43 +26,43 @@
         log.append(toRecords(['y'])),
       ),
     done: [...start, 'long enough to fill it', 'y'],
-    partly: [[...start, 'long enough to fill it']],
+    partial: [[...start, 'long enough to fill it']],
   },
   {
     name: 'a truncation over several segments',
     ask: (log: RecordLog) => log.truncateAfter(1),
     done: ['a'],
-    partly: [2, 3, 4, 5, 6].map((count) => start.slice(0, count)),
+    partial: [2, 3, 4, 5, 6].map((count) => start.slice(0, count)),
   },
   {
     name: 'a truncation within the last segment',
     ask: (log: RecordLog) => log.truncateAfter(6),
     done: start.slice(0, 6),
-    partly: [],
+    partial: [],
   },
   {
     name: 'a drop within a segment',
     ask: (log: RecordLog) => log.dropFirst(1),
     done: start.slice(1),
-    partly: [],
+    partial: [],
   },
   {
     name: 'a drop over several segments',
     ask: (log: RecordLog) => log.dropFirst(5),
     done: start.slice(5),
-    partly: [],
+    partial: [],
   },
   {
     name: 'a drop of everything',
     ask: (log: RecordLog) => log.dropFirst(7),
     done: [],
-    partly: [],
+    partial: [],
   },
   {
     name: 'a start',
     ask: (_log: RecordLog, disk: MemoryDisk) => Effect.asVoid(RecordLog.open(disk, 'log')),
     done: start,
-    partly: [],
+    partial: [],
   },
 ]
 
@@ -73,7 +73,7 @@
   return { disk, log }
 }
 
-/** How many disk operations a change takes. */
+/** Number of mutating disk operations that a log operation performs. */
 async function stepsOf(ask: (typeof changes)[number]['ask']): Promise<number> {
   const { disk, log } = await startedLog(0)
   const before = disk.changes
@@ -91,10 +91,10 @@
 ]
 
 describe('a log on a failing disk', () => {
-  for (const { name, ask, done, partly } of changes) {
-    const allowed = [start, done, ...partly].map(String)
+  for (const { name, ask, done, partial } of changes) {
+    const allowed = [start, done, ...partial].map(String)
 
-    it(`is whole again after a crash at each step of ${name}`, async () => {
+    it(`recovers after a crash at each step of ${name}`, async () => {
       for (let steps = await stepsOf(ask); steps >= 0; steps--) {
         for (let seed = 0; seed < SEEDS; seed++) {
           const { disk, log } = await startedLog(seed)
@@ -108,7 +108,7 @@
       }
     })
 
-    it(`stops when one operation of ${name} fails, and loses nothing`, async () => {
+    it(`stops when one disk operation of ${name} fails, and loses nothing`, async () => {
       for (const operation of faultyOperations) {
         for (let nth = 1; nth <= (await stepsOf(ask)); nth++) {
           const { disk, log } = await startedLog(nth)
@@ -120,7 +120,7 @@
             assert.equal(refusal.kind, StorageErrorKind.Stopped)
           }
           disk.clearFaults()
-          // The process restarts first: what it reads then may not be lost by a later crash.
+          // The process restarts first; a later crash must not lose what it then reads.
           const found = String(await readLog(disk))
           assert.ok(allowedNow.includes(found), `${found} after ${operation} ${nth}`)
           disk.crash()
--- a/packages/storage/src/lib/log/RecordLog.property.test.ts
+++ b/packages/storage/src/lib/log/RecordLog.property.test.ts
@@ -19,14 +19,15 @@
 
 interface Step {
   readonly kind: StepKind
-  /** Records of an append; the share of the log that a truncation keeps or a drop takes. */
+  /** Sizes of the appended records. */
   readonly sizes: readonly number[]
+  /** Fraction of the log that a truncation keeps or a drop removes. */
   readonly share: number
-  /** The disk stands still after so many changes, until the next restart. */
+  /** The disk halts after this many mutating operations, until the next restart. */
   readonly haltAfter: number | undefined
-  /** A fault of the sync, without a crash of the machine. */
+  /** The next sync fails, without a machine crash. */
   readonly failSync: boolean
-  /** The next start fails after so many changes, with another crash. */
+  /** The next open fails after this many mutating operations, followed by another crash. */
   readonly haltOpenAfter: number | undefined
   readonly restart: boolean
   readonly crash: boolean
@@ -43,10 +44,10 @@
   crash: fc.boolean(),
 })
 
-/** A log, and every content that it may have when it is opened next. */
+/** A log and every content that it may validly have when it is next opened. */
 class Trial {
   private allowed: string[][] = [[]]
-  private made = 0
+  private createdCount = 0
 
   private constructor(
     private readonly disk: MemoryDisk,
@@ -64,19 +65,19 @@
     if (failed || step.restart || step.crash) await this.reopen(step)
   }
 
-  /** Asks for the change; notes what may be there after it. */
+  /** Performs the change and records the contents that are valid after it. */
   private async change({ kind, sizes, share }: Step): Promise<boolean> {
     const [now = []] = this.allowed
     const count = Math.floor(share * now.length)
     switch (kind) {
       case StepKind.Append: {
-        const texts = sizes.map((size) => `${++this.made}:`.padEnd(size, '.'))
-        const partly = texts.map((_, i) => [...now, ...texts.slice(0, i)])
-        return this.attempt(this.log.append(toRecords(texts)), [...now, ...texts], partly)
+        const texts = sizes.map((size) => `${++this.createdCount}:`.padEnd(size, '.'))
+        const partial = texts.map((_, i) => [...now, ...texts.slice(0, i)])
+        return this.attempt(this.log.append(toRecords(texts)), [...now, ...texts], partial)
       }
       case StepKind.Truncate: {
-        const partly = now.slice(count).map((_, i) => now.slice(0, count + i + 1))
-        return this.attempt(this.log.truncateAfter(count), now.slice(0, count), partly)
+        const partial = now.slice(count).map((_, i) => now.slice(0, count + i + 1))
+        return this.attempt(this.log.truncateAfter(count), now.slice(0, count), partial)
       }
       case StepKind.Drop:
         return this.attempt(this.log.dropFirst(count), now.slice(count), [])
@@ -86,7 +87,7 @@
   private async attempt(
     change: Effect.Effect<void, StorageError>,
     done: string[],
-    partly: string[][],
+    partial: string[][],
   ): Promise<boolean> {
     const outcome = await Effect.runPromise(Effect.result(change))
     if (Result.isSuccess(outcome)) {
@@ -95,11 +96,11 @@
       return false
     }
     await errorOf(this.log.append(toRecords(['refused'])))
-    this.allowed = [...this.allowed, ...partly, done]
+    this.allowed = [...this.allowed, ...partial, done]
     return true
   }
 
-  /** A new process, or with a crash a new start of the machine. */
+  /** Restarts the process or, with a crash, the machine. */
   private async reopen({ crash, haltOpenAfter }: Step): Promise<void> {
     if (crash) this.disk.crash()
     else this.disk.clearFaults()
@@ -137,30 +138,30 @@
   )
 }
 
-/** Says that a sync is done without doing it. */
-class ForgetfulDisk extends MemoryDisk {
+/** Reports file syncs as done without performing them. */
+class NoFileSyncDisk extends MemoryDisk {
   override sync(): Effect.Effect<void, StorageError> {
     return Effect.void
   }
 }
 
-/** The same for the names of the folder. */
-class NamelessDisk extends MemoryDisk {
+/** Reports folder syncs as done without performing them. */
+class NoFolderSyncDisk extends MemoryDisk {
   override syncFolder(): Effect.Effect<void, StorageError> {
     return Effect.void
   }
 }
 
 describe('a log under random changes, faults, crashes and restarts', () => {
-  it('has what it acknowledged and no more than a prefix of the rest', async () => {
+  it('keeps acknowledged records and at most a prefix of the rest', async () => {
     await fc.assert(
       holds((seed) => new MemoryDisk({ seed })),
       { seed: SEED, numRuns: RUNS },
     )
   })
 
-  for (const Broken of [ForgetfulDisk, NamelessDisk]) {
-    it(`is caught with a ${Broken.name}`, async () => {
+  for (const Broken of [NoFileSyncDisk, NoFolderSyncDisk]) {
+    it(`fails the property on a ${Broken.name}`, async () => {
       const outcome = await fc.check(
         holds((seed) => new Broken({ seed })),
         { seed: SEED, numRuns: RUNS, endOnFailure: true },
--- a/packages/storage/src/lib/log/RecordLog.test.ts
+++ b/packages/storage/src/lib/log/RecordLog.test.ts
@@ -7,7 +7,7 @@
 import { RecordLog } from './RecordLog'
 
 describe('RecordLog', () => {
-  it('keeps what it acknowledged over truncation, compaction and a crash', async () => {
+  it('keeps acknowledged records across truncation, compaction and a crash', async () => {
     const disk = new MemoryDisk()
     const log = await openLog(disk)
     for (let i = 0; i < 10; i++) await appendAll(log, [`a${i}`, `b${i}`])
@@ -21,18 +21,18 @@
     assert.equal(again.records.map(String).join(), 'b2,a3,b3,a4,b4,a5,b5,a6,b6,a7,x')
   })
 
-  it('writes appends that wait together with one sync', async () => {
+  it('writes waiting appends with one sync', async () => {
     const disk = new MemoryDisk({ syncDelayMs: 1 })
     const log = await openLog(disk)
     const before = disk.changes
     const appends = ['a', 'b', 'c', 'd', 'e'].map((text) => log.append(toRecords([text])))
     await run(Effect.all(appends, { concurrency: 'unbounded' }))
-    // The first one goes at once; the four that came during its sync share the next one.
+    // The first append is synced at once; the four that arrive during its sync share the next.
     assert.equal(disk.changes - before, 4)
     assert.deepEqual(await readLog(disk), ['a', 'b', 'c', 'd', 'e'])
   })
 
-  it('keeps appends after a truncation that was asked for before them', async () => {
+  it('keeps appends that were requested after a truncation', async () => {
     const disk = new MemoryDisk({ syncDelayMs: 1 })
     const log = await openLog(disk)
     const steps = [
@@ -45,7 +45,7 @@
     assert.deepEqual(await readLog(disk), ['c'])
   })
 
-  it('keeps several logs and foreign files of one folder apart', async () => {
+  it('separates several logs and unrelated files in one folder', async () => {
     const disk = new MemoryDisk()
     await run(disk.writeNew('log.note', Buffer.from('not ours')))
     const log = await openLog(disk)
@@ -66,7 +66,7 @@
     },
   ]
   for (const { call, ask } of misuses) {
-    it(`refuses a caller that ${call}, and works on`, async () => {
+    it(`rejects a caller that ${call}, and stays usable`, async () => {
       const disk = new MemoryDisk()
       const log = await openLog(disk)
       await appendAll(log, ['a', 'b'])
@@ -76,7 +76,7 @@
     })
   }
 
-  it('stays stopped after a failure until it is opened again, and says what to do', async () => {
+  it('stays stopped after a failure until it is reopened, with advice in the error', async () => {
     const disk = new MemoryDisk()
     const log = await openLog(disk)
     await appendAll(log, ['a', 'b'])
--- a/packages/storage/src/lib/log/recoverSegments.test.ts
+++ b/packages/storage/src/lib/log/recoverSegments.test.ts
@@ -9,7 +9,7 @@
 
 const firstSegment = segmentName(LOG_NAME, 0)
 
-/** The bytes of a segment that three batches were appended to. */
+/** The bytes of a segment with three appended batches. */
 async function segmentBytes(): Promise<Buffer> {
   const disk = new MemoryDisk()
   const log = await run(RecordLog.open(disk, LOG_NAME))
@@ -17,7 +17,7 @@
   return Buffer.from((await run(disk.read(firstSegment))) ?? [])
 }
 
-/** A disk that holds these files, all synced. */
+/** A disk with these files, all synced. */
 async function diskWith(files: Readonly<Record<string, Uint8Array>>): Promise<MemoryDisk> {
   const disk = new MemoryDisk()
   for (const [name, bytes] of Object.entries(files)) {
@@ -31,7 +31,7 @@
 const LAST_RECORD_BYTES = 20 + 'last'.length
 
 describe('recovery of a log', () => {
-  it('cuts off the last record when it is torn at any byte, and goes on after it', async () => {
+  it('truncates a last record torn at any byte, and appends after it', async () => {
     const whole = await segmentBytes()
     for (let cut = 1; cut <= LAST_RECORD_BYTES; cut++) {
       const torn = whole.subarray(0, whole.length - cut)
@@ -47,7 +47,7 @@
     }
   })
 
-  it('refuses a flipped byte anywhere before the last batch, and says what to do', async () => {
+  it('rejects a corrupted byte anywhere before the last batch, with advice in the error', async () => {
     const whole = await segmentBytes()
     for (let at = 0; at < whole.length - LAST_RECORD_BYTES; at++) {
       const disk = await diskWith({ [firstSegment]: whole })
@@ -58,7 +58,7 @@
     }
   })
 
-  it('refuses any flipped byte once the log was opened again', async () => {
+  it('rejects any corrupted byte once the log was reopened', async () => {
     const whole = await segmentBytes()
     for (let at = 0; at < whole.length; at++) {
       const disk = await diskWith({ [firstSegment]: whole })
@@ -68,7 +68,7 @@
     }
   })
 
-  it('takes a torn batch for torn when its later records survived', async () => {
+  it('treats a batch as torn even if its later records survived', async () => {
     const disk = new MemoryDisk()
     const log = await openLog(disk)
     await appendAll(log, ['kept'], ['lost', 'survived'])
@@ -123,7 +123,7 @@
     },
   ]
   for (const { what, files, kind, message } of damages) {
-    it(`refuses ${what}`, async () => {
+    it(`rejects ${what}`, async () => {
       const named = Object.entries(files).map(([first, bytes]) => [
         segmentName(LOG_NAME, Number(first)),
         bytes,
@@ -135,7 +135,7 @@
     })
   }
 
-  it('ignores segments below the floor and files that were being written', async () => {
+  it('ignores segments below the floor and temporary files', async () => {
     const disk = await diskWith({
       [segmentName(LOG_NAME, 0)]: encodeSegment(0, 0, [Buffer.from('dropped')]),
       [segmentName(LOG_NAME, 3)]: encodeSegment(3, 3, [Buffer.from('kept')]),
--- a/packages/storage/src/lib/migrations/runMigrations.test.ts
+++ b/packages/storage/src/lib/migrations/runMigrations.test.ts
@@ -24,7 +24,7 @@
     [2, 'acd'],
     [4, 'a'],
   ] as const) {
-    it(`bring a record of version ${version} to the newest one`, () => {
+    it(`migrate a record of version ${version} to the newest version`, () => {
       const stored = packVersioned({ version, content: Buffer.from('a') })
       const read = unpackVersioned(stored, 'record 7').unwrap()
       const content = runMigrations(read, migrations, 'record 7').unwrap()
@@ -32,7 +32,7 @@
     })
   }
 
-  it('leave a record alone that was packed as the newest, and bring an older one up', () => {
+  it('leave a record of the newest version unchanged, and migrate an older one', () => {
     const newest = packNewest(Buffer.from('a'), migrations)
     const older = packVersioned({ version: 1, content: Buffer.from('a') })
     const read = (bytes: Uint8Array): string => {
@@ -51,7 +51,7 @@
     { version: 2, list: [], kind: StorageErrorKind.TooNew, message: /knows up to 1/ },
   ]
   for (const { version, list, kind, message } of refusals) {
-    it(`refuse version ${version} where the newest is ${newestVersion(list)}`, () => {
+    it(`reject version ${version} where the newest is ${newestVersion(list)}`, () => {
       const result = runMigrations({ version, content: Buffer.from('a') }, list, 'record 7')
       assert.ok(result.err)
       assert.equal(result.val.kind, kind)
@@ -59,7 +59,7 @@
     })
   }
 
-  it('refuse a record that is too short for a version', () => {
+  it('reject a record that is too short to hold a version', () => {
     const result = unpackVersioned(Buffer.from('a'), 'record 7')
     assert.ok(result.err)
     assert.equal(result.val.kind, StorageErrorKind.Damaged)
--- a/packages/storage/src/lib/migrations/runMigrations.ts
+++ b/packages/storage/src/lib/migrations/runMigrations.ts
@@ -76,7 +76,7 @@
   return Ok(content)
 }
 
-/** Encodes a record for storage: content in the newest format, prefixed with its version. @public */
+/** Encodes a record for storage: newest-format content, prefixed with its version. @public */
 export function packNewest(content: Uint8Array, migrations: readonly Migration[]): Uint8Array {
   return packVersioned({ version: newestVersion(migrations), content })
 }
