--- a/packages/storage/src/lib/file/DurableFile.ts
+++ b/packages/storage/src/lib/file/DurableFile.ts
@@ -30,8 +30,7 @@
   const bytes = Buffer.from(stored.buffer, stored.byteOffset, stored.byteLength)
   const damaged = (what: string) => Effect.fail(storageError(StorageErrorKind.Damaged, name, what))
   if (bytes.length < HEADER_SIZE) return damaged(`the file has only ${bytes.length} bytes`)
-  if (bytes.readUInt32BE(offsets.magic) !== MAGIC)
-    return damaged('the file does not start with the expected magic number')
+  if (bytes.readUInt32BE(offsets.magic) !== MAGIC) return damaged('unexpected magic number')
   // The checksum has the same offset in every version, so corruption is never mistaken for a newer
   // version.
   if (bytes.readUInt32BE(offsets.checksum) !== checksumOf(bytes)) {
@@ -48,8 +47,8 @@
 /**
  * A small file that is replaced as a whole, such as a voter's term and vote, or a snapshot.
  *
- * After a failed operation it is unknown which content would survive a crash, so reads and writes
- * are rejected until a new object is created.
+ * After a failed write it is unknown which content would survive a crash, so after any failure reads
+ * and writes are rejected until a new object is created.
  *
  * @public
  */
--- a/packages/storage/src/lib/folder/lockFile.ts
+++ b/packages/storage/src/lib/folder/lockFile.ts
@@ -10,7 +10,7 @@
 
 const lockPattern = /^lock\.(\d{1,15})$/
 
-/** Makes temporary file names unique when one process opens several folders. */
+/** Makes temporary file names unique when one process opens a folder several times. */
 let openings = 0
 
 /** The acquired lock, or the process that holds it. */
--- a/packages/storage/src/lib/log/recoverSegments.test.ts
+++ b/packages/storage/src/lib/log/recoverSegments.test.ts
@@ -123,7 +123,7 @@
     },
   ]
   for (const { what, files, kind, message } of damages) {
-    it(`rejects ${what}`, async () => {
+    it(`refuses ${what}`, async () => {
       const named = Object.entries(files).map(([first, bytes]) => [
         segmentName(LOG_NAME, Number(first)),
         bytes,
