--- a/packages/dispatch/src/lib/DispatchMachine.takeover.test.ts
+++ b/packages/dispatch/src/lib/DispatchMachine.takeover.test.ts
@@ -13,7 +13,7 @@
 import type { DispatchAction } from './DispatchAction'
 import { DispatchEventKind } from './DispatchEvent'
 import { DispatchMachine } from './DispatchMachine'
-import { DispatchWorld } from './soak/DispatchWorld'
+import { DispatchSimulation } from './soak/DispatchSimulation'
 
 const middle = () => 0.5
 const PLACE = { host: 'h', path: '/q/j' }
@@ -54,7 +54,12 @@
 
 describe('a new leader', () => {
   it('continues active runs, even when the job arrives before the reports of the endpoints', () => {
-    const world = new DispatchWorld({ leaders: 2, endpoints: 2, placesEach: 4, random: middle })
+    const world = new DispatchSimulation({
+      leaders: 2,
+      endpoints: 2,
+      placesEach: 4,
+      random: middle,
+    })
     world.elect(0, 0)
     world.run(100)
     world.submit('a', 4)
@@ -69,7 +74,7 @@
 
   it('lets discovered runs take as long as the caller estimated', () => {
     const runs = { runMs: 900, placesEach: 4, random: middle }
-    const world = new DispatchWorld({ leaders: 2, endpoints: 2, ...runs })
+    const world = new DispatchSimulation({ leaders: 2, endpoints: 2, ...runs })
     world.elect(0, 0)
     world.run(100)
     world.submit('a', 4, { estimateMs: 900 })
@@ -98,7 +103,12 @@
   })
 
   it('waits for the leases of endpoints that it cannot reach to expire', () => {
-    const world = new DispatchWorld({ leaders: 2, endpoints: 2, placesEach: 4, random: middle })
+    const world = new DispatchSimulation({
+      leaders: 2,
+      endpoints: 2,
+      placesEach: 4,
+      random: middle,
+    })
     world.elect(0, 0)
     world.run(100)
     world.submit('a', 4)
--- a/packages/dispatch/src/lib/endpoints/capacity.test.ts
+++ b/packages/dispatch/src/lib/endpoints/capacity.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { seededRandom } from '@cherryhitch/model'
-import { DispatchWorld } from '../soak/DispatchWorld'
+import { DispatchSimulation } from '../soak/DispatchSimulation'
 import type { SimulatedEndpoint } from '../soak/SimulatedEndpoint'
 
 const PLACES = 4
@@ -12,7 +12,7 @@
  * Endpoints that do not enforce their capacity, loaded with more jobs than they have places for.
  */
 function openWorld(seed: number) {
-  const world = new DispatchWorld({
+  const world = new DispatchSimulation({
     leaders: 2,
     endpoints: 2,
     placesEach: PLACES,
--- a/packages/dispatch/src/lib/endpoints/silentEndpoint.test.ts
+++ b/packages/dispatch/src/lib/endpoints/silentEndpoint.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { JobVerdict } from '@cherryhitch/protocol'
-import { DispatchWorld } from '../soak/DispatchWorld'
+import { DispatchSimulation } from '../soak/DispatchSimulation'
 
 const RUN_MS = 200
 /** The lease of 900 ms plus its renewal interval and the allowance for a slow endpoint clock. */
@@ -9,7 +9,7 @@
 
 describe('a run on an endpoint that stops answering', () => {
   it('is restarted elsewhere once the lease has expired, despite continued polling', () => {
-    const world = new DispatchWorld({
+    const world = new DispatchSimulation({
       leaders: 1,
       endpoints: 2,
       placesEach: 2,
--- a/packages/dispatch/src/lib/runs/cutOffLeader.test.ts
+++ b/packages/dispatch/src/lib/runs/cutOffLeader.test.ts
@@ -12,7 +12,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { DispatchWorld } from '../soak/DispatchWorld'
+import { DispatchSimulation } from '../soak/DispatchSimulation'
 
 const RUN_MS = 2_000
 
@@ -20,8 +20,8 @@
  * Starts a run on one of two endpoints, then partitions the network: the leader reaches neither
  * that endpoint nor the majority, and the majority does not reach the other endpoint.
  */
-function partitionLeader(cutAfterMs: number): DispatchWorld {
-  const world = new DispatchWorld({
+function partitionLeader(cutAfterMs: number): DispatchSimulation {
+  const world = new DispatchSimulation({
     leaders: 2,
     endpoints: 2,
     placesEach: 1,
@@ -49,7 +49,7 @@
   })
 
   it('restarts it when only the endpoint is unreachable and its lease has expired', () => {
-    const world = new DispatchWorld({
+    const world = new DispatchSimulation({
       leaders: 1,
       endpoints: 2,
       placesEach: 1,
--- a/packages/dispatch/src/lib/scheduling/lostOrders.test.ts
+++ b/packages/dispatch/src/lib/scheduling/lostOrders.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { seededRandom } from '@cherryhitch/model'
 import { JobVerdict } from '@cherryhitch/protocol'
-import { DispatchWorld } from '../soak/DispatchWorld'
+import { DispatchSimulation } from '../soak/DispatchSimulation'
 
 /**
  * Sixty slots, runs of 60 ms, jobs of eight tasks: 60 jobs per second keep half of the slots busy.
@@ -32,7 +32,7 @@
  * in time.
  */
 function simulate(lateOrder: number): LoadResult {
-  const world = new DispatchWorld({
+  const world = new DispatchSimulation({
     leaders: 1,
     endpoints: ENDPOINTS,
     placesEach: SLOTS_PER_ENDPOINT,
--- a/packages/dispatch/src/lib/scheduling/overload.test.ts
+++ b/packages/dispatch/src/lib/scheduling/overload.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { JobVerdict } from '@cherryhitch/protocol'
-import { DispatchWorld } from '../soak/DispatchWorld'
+import { DispatchSimulation } from '../soak/DispatchSimulation'
 import { FifoPolicy, LeastSlackPolicy } from './QueuePolicy'
 import type { QueuePolicy } from './QueuePolicy'
 
@@ -23,7 +23,7 @@
 
 /** Simulates jobs of two tasks that arrive at a share of the slot capacity. */
 function simulate(order: QueuePolicy, share: number): LoadResult {
-  const world = new DispatchWorld({
+  const world = new DispatchSimulation({
     leaders: 1,
     endpoints: ENDPOINTS,
     placesEach: SLOTS_PER_ENDPOINT,
--- a/packages/dispatch/src/lib/scheduling/overrun.test.ts
+++ b/packages/dispatch/src/lib/scheduling/overrun.test.ts
@@ -3,7 +3,7 @@
 import { JobVerdict } from '@cherryhitch/protocol'
 import { decideOverrun, OverrunDecision } from './overrun'
 import type { OverrunEvidence } from './overrun'
-import { DispatchWorld } from '../soak/DispatchWorld'
+import { DispatchSimulation } from '../soak/DispatchSimulation'
 
 const middle = () => 0.5
 const ENDPOINTS = 8
@@ -14,7 +14,7 @@
   runMs: number | ((task: string, endpoint: string) => number),
   estimateMs = 60,
 ) {
-  const world = new DispatchWorld({
+  const world = new DispatchSimulation({
     leaders: 1,
     endpoints: ENDPOINTS,
     placesEach: 2,
--- a/packages/dispatch/src/lib/scheduling/zeroNeeds.test.ts
+++ b/packages/dispatch/src/lib/scheduling/zeroNeeds.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { JobVerdict } from '@cherryhitch/protocol'
-import { DispatchWorld } from '../soak/DispatchWorld'
+import { DispatchSimulation } from '../soak/DispatchSimulation'
 
 describe('a job whose tasks need no CPU and no memory', () => {
   it('is served alongside others', () => {
-    const world = new DispatchWorld({
+    const world = new DispatchSimulation({
       leaders: 1,
       endpoints: 2,
       placesEach: 4,
--- a/packages/dispatch/src/lib/soak/DispatchWorld.ts
+++ b/packages/dispatch/src/lib/soak/DispatchSimulation.ts
@@ -10,7 +10,11 @@
 import { DispatchMachine } from '../DispatchMachine'
 import { JobRelay, RelayActionKind, RelayEventKind } from '../relay/JobRelay'
 import type { RelayAction } from '../relay/JobRelay'
-import type { AddedEndpoint, DispatchWorldOptions, SubmitOptions } from './DispatchWorldOptions'
+import type {
+  AddedEndpoint,
+  DispatchSimulationOptions,
+  SubmitOptions,
+} from './DispatchSimulationOptions'
 import { EndpointLifecycle } from './EndpointLifecycle'
 import { OrderTransport, WAY_MS } from './OrderTransport'
 import { PayingLeader } from './PayingLeader'
@@ -35,7 +39,7 @@
  *
  * @internal
  */
-export class DispatchWorld {
+export class DispatchSimulation {
   readonly endpoints: SimulatedEndpoint[] = []
   readonly outcomes = new Map<string, JobOutcome>()
   /** Time of the last answer to each request, by request id. */
@@ -64,7 +68,7 @@
   #term = 0
   #leader = 0
 
-  constructor(private readonly options: DispatchWorldOptions) {
+  constructor(private readonly options: DispatchSimulationOptions) {
     this.#processes = new Processes(options.leaders)
     this.lifecycle = new EndpointLifecycle({
       endpoints: this.endpoints,
--- a/packages/dispatch/src/lib/soak/DispatchWorldOptions.ts
+++ b/packages/dispatch/src/lib/soak/DispatchSimulationOptions.ts
@@ -7,7 +7,7 @@
 import type { LeaderCosts } from './PayingLeader'
 
 /** @internal */
-export interface DispatchWorldOptions {
+export interface DispatchSimulationOptions {
   readonly leaders: number
   readonly endpoints: number
   /** Number of racks over which the initial endpoints are spread; one by default. */
--- a/packages/dispatch/src/lib/soak/EndpointLifecycle.ts
+++ b/packages/dispatch/src/lib/soak/EndpointLifecycle.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf'
 import { EndpointNoticeSchema, NoticeState } from '@cherryhitch/protocol'
 import type { EndpointNotice } from '@cherryhitch/protocol'
-import type { AddedEndpoint } from './DispatchWorldOptions'
+import type { AddedEndpoint } from './DispatchSimulationOptions'
 import type { SimulatedEndpoint } from './SimulatedEndpoint'
 import { DRAIN_MS } from './StartChecks'
 
--- a/packages/dispatch/src/lib/soak/OrderTransport.ts
+++ b/packages/dispatch/src/lib/soak/OrderTransport.ts
@@ -30,7 +30,7 @@
   readonly after: (ms: number, run: () => void) => void
   /** Whether an instance can't reach an endpoint now. */
   readonly isCut: (caller: string, endpoint: string) => boolean
-  /** See `DispatchWorldOptions`. */
+  /** See `DispatchSimulationOptions`. */
   readonly takesLivesForOne?: boolean
 }
 
--- a/packages/dispatch/src/lib/soak/playLoad.ts
+++ b/packages/dispatch/src/lib/soak/playLoad.ts
@@ -6,7 +6,7 @@
 import type { DispatchOptions } from '../DispatchOptions'
 import type { JobAdmission } from '../scheduling/JobAdmission'
 import type { QueuePolicy } from '../scheduling/QueuePolicy'
-import { DispatchWorld } from './DispatchWorld'
+import { DispatchSimulation } from './DispatchSimulation'
 import type { LeaderCosts } from './PayingLeader'
 
 /** A class of jobs with its mean number of tasks and run time. */
@@ -145,7 +145,7 @@
  * or fewer orders, or starts a task elsewhere, is simulated with the same jobs.
  */
 class LoadPlay {
-  readonly world: DispatchWorld
+  readonly world: DispatchSimulation
   private readonly random: () => number
   /** Mean run time of each job's tasks, in milliseconds, by job id. */
   private readonly workOf = new Map<string, number>()
@@ -155,7 +155,7 @@
     const { seed, order, admission, without, lateOrder, endpoints, slowShare } = chosen
     const { costs, makeMachine } = chosen
     this.random = seededRandom(seed)
-    this.world = new DispatchWorld({
+    this.world = new DispatchSimulation({
       leaders: 1,
       endpoints,
       placesEach: PLACES_EACH,
@@ -235,7 +235,10 @@
   return KINDS.findIndex(({ share }) => (left -= share) < 0)
 }
 
-function summarize(world: DispatchWorld, sent: readonly SentJob[]): Omit<LoadOutcome, 'counted'> {
+function summarize(
+  world: DispatchSimulation,
+  sent: readonly SentJob[],
+): Omit<LoadOutcome, 'counted'> {
   const ends = sent.map(({ id, kind, at, objectiveMs }) => {
     const ms = (world.answeredAt.get(id) ?? Infinity) - at
     const verdict = world.outcomes.get(id)?.verdict
--- a/packages/dispatch/src/lib/soak/runDispatchSoak.ts
+++ b/packages/dispatch/src/lib/soak/runDispatchSoak.ts
@@ -1,6 +1,6 @@
 import { seededRandom } from '@cherryhitch/model'
 import { JobVerdict } from '@cherryhitch/protocol'
-import { DispatchWorld } from './DispatchWorld'
+import { DispatchSimulation } from './DispatchSimulation'
 
 /** Result of a randomised run. @public */
 export interface DispatchSoakReport {
@@ -19,9 +19,9 @@
   readonly hasRestarts?: boolean
   /** Whether endpoints crash or leave and restart under the same id, at once or after a while. */
   readonly hasEndpointRestarts?: boolean
-  /** See `DispatchWorldOptions`. */
+  /** See `DispatchSimulationOptions`. */
   readonly resendsToNextProcess?: boolean
-  /** See `DispatchWorldOptions`. */
+  /** See `DispatchSimulationOptions`. */
   readonly takesLivesForOne?: boolean
 }
 
@@ -45,7 +45,7 @@
   const keepsIds = options.hasEndpointRestarts === true
   const random = seededRandom(seed)
   const below = (n: number): number => Math.floor(random() * n)
-  const world = new DispatchWorld({
+  const world = new DispatchSimulation({
     leaders: LEADERS,
     endpoints: 3,
     placesEach: 3,
@@ -79,7 +79,7 @@
 
 /** Injects the failures of one step. */
 function disturb(
-  world: DispatchWorld,
+  world: DispatchSimulation,
   { random, below }: Draw,
   options: DispatchSoakOptions,
 ): void {
@@ -99,7 +99,7 @@
 }
 
 /** Crashes or drains an endpoint at random; half of them return before the loss is detected. */
-function restartEndpoint(world: DispatchWorld, { random, below }: Draw): void {
+function restartEndpoint(world: DispatchSimulation, { random, below }: Draw): void {
   const endpoint = world.endpoints[below(world.endpoints.length)]
   const downMs = random() < 0.5 ? below(20) : below(3_000)
   if (endpoint === undefined) return
@@ -108,12 +108,12 @@
 }
 
 /** Adds an endpoint that is announced to only one instance at first. */
-function addEndpoint(world: DispatchWorld, below: Draw['below']): void {
+function addEndpoint(world: DispatchSimulation, below: Draw['below']): void {
   const id = `e${world.endpointsAdded}`
   world.addEndpoint(id, { knownTo: [below(LEADERS)] })
 }
 
-function disturbProxies(world: DispatchWorld, { random, below }: Draw, proxies: number): void {
+function disturbProxies(world: DispatchSimulation, { random, below }: Draw, proxies: number): void {
   if (random() < 0.1) {
     world.cut(`p${below(proxies)}`, `e${below(world.endpoints.length)}`, below(2_000))
   }
@@ -121,7 +121,7 @@
 }
 
 /** Restarts one instance, or all at about the same time, and elects a leader if it was lost. */
-function restart(world: DispatchWorld, below: (n: number) => number): void {
+function restart(world: DispatchSimulation, below: (n: number) => number): void {
   const isAll = below(3) === 0
   const lost = isAll ? Array.from({ length: LEADERS }, (_, i) => i) : [below(LEADERS)]
   const isLeaderLost = lost.some((i) => world.isElected(i))
--- a/packages/dispatch/src/lib/soak/runFatalTasks.ts
+++ b/packages/dispatch/src/lib/soak/runFatalTasks.ts
@@ -1,6 +1,6 @@
 import { hash64, seededRandom } from '@cherryhitch/model'
 import { JobVerdict } from '@cherryhitch/protocol'
-import { DispatchWorld } from './DispatchWorld'
+import { DispatchSimulation } from './DispatchSimulation'
 
 /** Instances that are killed without notice. @internal */
 export enum LostInstances {
@@ -76,7 +76,7 @@
     const digits = hash64(`${seed}/${job}`).slice(0, DIGITS)
     return Number.parseInt(digits, 16) / FRACTION < fatalShare
   }
-  const world = new DispatchWorld({
+  const world = new DispatchSimulation({
     leaders: LEADERS,
     endpoints: ENDPOINTS,
     racks: RACKS,
@@ -115,7 +115,7 @@
   }
 }
 
-function submitAgain(world: DispatchWorld, job: string, tasks: number, submissions = 1): void {
+function submitAgain(world: DispatchSimulation, job: string, tasks: number, submissions = 1): void {
   const deadlineMs = 1_500
   world.submit(job, tasks, { deadlineMs })
   world.after(deadlineMs + RESUBMIT_MS, () => {
@@ -127,7 +127,7 @@
 }
 
 /** Kills the leader's process, or those of all instances, and elects another leader soon after. */
-function loseLeader(world: DispatchWorld, below: (n: number) => number, isAll: boolean): void {
+function loseLeader(world: DispatchSimulation, below: (n: number) => number, isAll: boolean): void {
   const instances = Array.from({ length: LEADERS }, (_, i) => i)
   const leader = instances.findIndex((i) => world.isElected(i))
   for (const i of isAll ? instances : [leader]) world.restart(i, below(800), below(300))
@@ -138,7 +138,7 @@
 }
 
 /** Crashes all endpoints of a rack at once. */
-function loseRack(world: DispatchWorld, number: number): void {
+function loseRack(world: DispatchSimulation, number: number): void {
   const lost = world.endpoints.filter(({ options }) => options.rack === `r${number}`)
   for (const endpoint of lost) world.lifecycle.crash(endpoint)
 }
