--- a/apps/cherryhitch/src/lib/dispatching/DispatchParts.ts
+++ b/apps/cherryhitch/src/lib/dispatching/DispatchParts.ts
@@ -5,7 +5,7 @@
 import { LateBound } from '../instance/LateBound'
 import type { DirectoryStore } from './DirectoryStore'
 import type { NoticeExchange } from './NoticeExchange'
-import type { DiscoveryPart } from './startDiscovery'
+import type { DiscoveryActor } from './startDiscovery'
 
 /**
  * The parts of a dispatching instance that receive messages; each is bound once it has started.
@@ -16,7 +16,7 @@
   readonly dispatcher = new LateBound<Dispatcher>()
   readonly proxy = new LateBound<OrderProxy>()
   readonly control = new LateBound<ControlNode>()
-  readonly discovery = new LateBound<DiscoveryPart>()
+  readonly discovery = new LateBound<DiscoveryActor>()
   readonly notices = new LateBound<NoticeExchange>()
   readonly directoryStore = new LateBound<DirectoryStore>()
 
--- a/apps/cherryhitch/src/lib/dispatching/runDispatch.ts
+++ b/apps/cherryhitch/src/lib/dispatching/runDispatch.ts
@@ -20,7 +20,7 @@
 import type { ProcessContext } from './createProcessContext'
 import { ControlRequestHandler } from './ControlRequestHandler'
 import { startDiscovery } from './startDiscovery'
-import type { DiscoveryPart } from './startDiscovery'
+import type { DiscoveryActor } from './startDiscovery'
 import { startDispatchLinks } from './startDispatchLinks'
 import { startDispatchPart } from './startDispatchPart'
 import type { DispatchPart } from './startDispatchPart'
@@ -48,7 +48,7 @@
 interface RunningDispatch {
   readonly dispatcher: DispatchPart
   readonly control: ControlNode
-  readonly discovery: DiscoveryPart
+  readonly discovery: DiscoveryActor
   readonly notices: NoticeExchange
 }
 
--- a/apps/cherryhitch/src/lib/dispatching/runEntry.ts
+++ b/apps/cherryhitch/src/lib/dispatching/runEntry.ts
@@ -9,8 +9,8 @@
 import { startFrontServer, startReadinessServer } from '@cherryhitch/platform'
 import { JobVerdict } from '@cherryhitch/protocol'
 import type { Envelope, JobOutcome } from '@cherryhitch/protocol'
-import { startPart } from '@cherryhitch/runtime'
-import type { Part } from '@cherryhitch/runtime'
+import { startActor } from '@cherryhitch/runtime'
+import type { Actor } from '@cherryhitch/runtime'
 import type { DispatchSettings } from '@cherryhitch/settings'
 import type { PartLog } from '@cherryhitch/telemetry'
 import { Effect } from 'effect'
@@ -20,7 +20,7 @@
 import { createProcessContext } from './createProcessContext'
 import type { ProcessContext } from './createProcessContext'
 import { startDiscovery } from './startDiscovery'
-import type { DiscoveryPart } from './startDiscovery'
+import type { DiscoveryActor } from './startDiscovery'
 import { startMetricsServer } from './startMetricsServer'
 import { startDispatchLinks } from './startDispatchLinks'
 import { startUsageReport } from './startUsageReport'
@@ -38,8 +38,8 @@
 
 /** The parts of an entry that receive messages; each is bound once it has started. */
 class EntryParts {
-  readonly relay = new LateBound<Part<RelayEvent>>()
-  readonly discovery = new LateBound<DiscoveryPart>()
+  readonly relay = new LateBound<Actor<RelayEvent>>()
+  readonly discovery = new LateBound<DiscoveryActor>()
 
   constructor(private readonly log: PartLog) {}
 
@@ -142,7 +142,7 @@
   telemetry.metrics.registerCounters('entry', 'Counted by the entry.', () => {
     return { requests_open: requests.size, relayed_open: relay.openRequests }
   })
-  return Effect.map(startPart(relay, { perform, onDefect, tickMs: RELAY_TICK_MS }), (part) => {
+  return Effect.map(startActor(relay, { perform, onDefect, tickMs: RELAY_TICK_MS }), (part) => {
     parts.relay.bind(part)
     return requests
   })
--- a/apps/cherryhitch/src/lib/dispatching/startDiscovery.ts
+++ b/apps/cherryhitch/src/lib/dispatching/startDiscovery.ts
@@ -1,8 +1,8 @@
 import { DiscoveryActionKind, DiscoveryMachine, instanceAt } from '@cherryhitch/dispatch'
 import type { DiscoveryAction, DiscoveryEvent } from '@cherryhitch/dispatch'
 import { exhaustive, splitAddress } from '@cherryhitch/model'
-import { startPart } from '@cherryhitch/runtime'
-import type { Part } from '@cherryhitch/runtime'
+import { startActor } from '@cherryhitch/runtime'
+import type { Actor } from '@cherryhitch/runtime'
 import type { DispatchSettings } from '@cherryhitch/settings'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
@@ -21,7 +21,7 @@
 }
 
 /** The running discovery part. @internal */
-export interface DiscoveryPart extends Part<DiscoveryEvent> {
+export interface DiscoveryActor extends Actor<DiscoveryEvent> {
   readonly machine: DiscoveryMachine
 }
 
@@ -35,7 +35,7 @@
   { settings, instance, startedAt, log, onDefect }: ProcessContext,
   { hostsVoter, links, onLeader, onQuorumUnreachable }: DiscoveryPartOptions,
   onVoterHost: (instance: string) => void = () => undefined,
-): Effect.Effect<DiscoveryPart, never, Scope.Scope> {
+): Effect.Effect<DiscoveryActor, never, Scope.Scope> {
   const machine = new DiscoveryMachine({
     instance,
     zone: settings.zone,
@@ -66,7 +66,7 @@
         exhaustive(action)
     }
   }
-  return Effect.map(startPart(machine, { perform, onDefect, tickMs: TICK_MS }), (part) => {
+  return Effect.map(startActor(machine, { perform, onDefect, tickMs: TICK_MS }), (part) => {
     return { ...part, machine }
   })
 }
--- a/apps/cherryhitch/src/lib/instance/Instance.ts
+++ b/apps/cherryhitch/src/lib/instance/Instance.ts
@@ -1,9 +1,9 @@
 import { CoordinatorEventKind } from '@cherryhitch/coordinator'
-import type { CoordinatorPart } from '@cherryhitch/coordinator'
+import type { CoordinatorActor } from '@cherryhitch/coordinator'
 import type { ControlNode } from '@cherryhitch/control'
 import { MembershipEventKind } from '@cherryhitch/membership'
 import type { InstanceView } from '@cherryhitch/model'
-import type { OwnerPart } from '@cherryhitch/owner'
+import type { OwnerActor } from '@cherryhitch/owner'
 import { OwnerEventKind } from '@cherryhitch/owner'
 import { InstanceState } from '@cherryhitch/protocol'
 import type { HttpServer } from '@cherryhitch/http-api'
@@ -15,7 +15,7 @@
 import { InstancePhase } from './Readiness'
 import type { Readiness } from './Readiness'
 import type { InstanceInterfaces } from './startInterfaces'
-import type { MembershipPart } from './startMembership'
+import type { MembershipActor } from './startMembership'
 
 /** How long to wait for the receipts of the last messages. */
 const LINK_DRAIN_LIMIT_MS = 1000
@@ -30,10 +30,10 @@
   readonly readiness: Readiness
   readonly interfaces: InstanceInterfaces
   readonly links: LinkHost
-  readonly owner: OwnerPart
-  readonly coordinator: CoordinatorPart
+  readonly owner: OwnerActor
+  readonly coordinator: CoordinatorActor
   readonly control: ControlNode
-  readonly membership: MembershipPart
+  readonly membership: MembershipActor
   readonly members: () => readonly InstanceView[]
   readonly ownerDrained: DrainSignal
   readonly coordinatorDrained: DrainSignal
--- a/apps/cherryhitch/src/lib/instance/InstanceEndpoints.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceEndpoints.ts
@@ -1,7 +1,7 @@
 import type { HeartbeatReply } from '@cherryhitch/http-api'
 import { EndpointService } from '@cherryhitch/http-api'
 import type { InstanceView } from '@cherryhitch/model'
-import type { OwnerPart } from '@cherryhitch/owner'
+import type { OwnerActor } from '@cherryhitch/owner'
 import { OwnerEventKind } from '@cherryhitch/owner'
 import type { EndpointAnnouncement, Envelope } from '@cherryhitch/protocol'
 import { envelope } from '@cherryhitch/protocol'
@@ -10,7 +10,7 @@
 /** Dependencies of the endpoint interface. @internal */
 export interface InstanceEndpointsOptions {
   readonly instance: string
-  readonly owner: OwnerPart
+  readonly owner: OwnerActor
   readonly heartbeatMs: number
   readonly send: (to: string, message: Envelope) => void
   readonly members: () => readonly InstanceView[]
--- a/apps/cherryhitch/src/lib/instance/InstanceJobs.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceJobs.ts
@@ -1,4 +1,4 @@
-import type { CoordinatorPart } from '@cherryhitch/coordinator'
+import type { CoordinatorActor } from '@cherryhitch/coordinator'
 import type { JobQuestion } from '@cherryhitch/http-api'
 import { JobService } from '@cherryhitch/http-api'
 import type { JobAnswer, JobSpec } from '@cherryhitch/protocol'
@@ -6,7 +6,7 @@
 
 /** Connects the caller interface to the coordinator. @internal */
 export class InstanceJobs extends JobService {
-  constructor(private readonly coordinator: CoordinatorPart) {
+  constructor(private readonly coordinator: CoordinatorActor) {
     super()
   }
 
--- a/apps/cherryhitch/src/lib/instance/InstanceOperators.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceOperators.ts
@@ -1,10 +1,10 @@
 import { create } from '@bufbuild/protobuf'
 import type { ControlNode } from '@cherryhitch/control'
-import type { CoordinatorPart } from '@cherryhitch/coordinator'
+import type { CoordinatorActor } from '@cherryhitch/coordinator'
 import type { AuditPage, EndpointStatus, SettingsStatus } from '@cherryhitch/http-api'
 import { OperatorService } from '@cherryhitch/http-api'
 import type { InstanceView } from '@cherryhitch/model'
-import type { EndpointView, OwnerPart } from '@cherryhitch/owner'
+import type { EndpointView, OwnerActor } from '@cherryhitch/owner'
 import { HealthState } from '@cherryhitch/policy'
 import type { Command, CommandAnswer, JobAnswer, VotersStatus } from '@cherryhitch/protocol'
 import {
@@ -17,8 +17,8 @@
 /** The parts that the operator interface reads from. @internal */
 export interface InstanceOperatorsOptions {
   readonly instance: string
-  readonly owner: OwnerPart
-  readonly coordinator: CoordinatorPart
+  readonly owner: OwnerActor
+  readonly coordinator: CoordinatorActor
   readonly control: ControlNode
   readonly members: () => readonly InstanceView[]
 }
--- a/apps/cherryhitch/src/lib/instance/InstanceParts.ts
+++ b/apps/cherryhitch/src/lib/instance/InstanceParts.ts
@@ -1,12 +1,12 @@
 import type { ControlNode } from '@cherryhitch/control'
-import type { CoordinatorPart } from '@cherryhitch/coordinator'
+import type { CoordinatorActor } from '@cherryhitch/coordinator'
 import type { InstanceView } from '@cherryhitch/model'
-import type { OwnerPart } from '@cherryhitch/owner'
+import type { OwnerActor } from '@cherryhitch/owner'
 import type { Envelope } from '@cherryhitch/protocol'
 import type { LinkHost } from '@cherryhitch/rpc'
 import { LateBound } from './LateBound'
 import type { Readiness } from './Readiness'
-import type { MembershipPart } from './startMembership'
+import type { MembershipActor } from './startMembership'
 
 /**
  * The parts of one instance. They start one after the other but may call one another at any time,
@@ -16,10 +16,10 @@
  */
 export class InstanceParts {
   readonly links = new LateBound<LinkHost>()
-  readonly owner = new LateBound<OwnerPart>()
-  readonly coordinator = new LateBound<CoordinatorPart>()
+  readonly owner = new LateBound<OwnerActor>()
+  readonly coordinator = new LateBound<CoordinatorActor>()
   readonly control = new LateBound<ControlNode>()
-  readonly membership = new LateBound<MembershipPart>()
+  readonly membership = new LateBound<MembershipActor>()
   private view: readonly InstanceView[] = []
 
   constructor(readonly readiness: Readiness) {}
--- a/apps/cherryhitch/src/lib/instance/becomeReady.ts
+++ b/apps/cherryhitch/src/lib/instance/becomeReady.ts
@@ -6,7 +6,7 @@
 import { InstancePhase } from './Readiness'
 import type { StartContext } from './StartContext'
 import { logOf } from './StartContext'
-import type { MembershipPart } from './startMembership'
+import type { MembershipActor } from './startMembership'
 
 const SETTINGS_POLL_MS = 50
 
@@ -19,7 +19,7 @@
 export function becomeReady(
   { options, timing, parts }: StartContext,
   control: ControlNode,
-  membership: MembershipPart,
+  membership: MembershipActor,
 ): Effect.Effect<void> {
   const log = logOf(options, 'instance')
   return Effect.gen(function* () {
--- a/apps/cherryhitch/src/lib/instance/startCoordinatorPart.ts
+++ b/apps/cherryhitch/src/lib/instance/startCoordinatorPart.ts
@@ -1,4 +1,4 @@
-import type { CoordinatorPart } from '@cherryhitch/coordinator'
+import type { CoordinatorActor } from '@cherryhitch/coordinator'
 import { startCoordinator } from '@cherryhitch/coordinator'
 import type { KeyClaim } from '@cherryhitch/protocol'
 import { Effect } from 'effect'
@@ -12,7 +12,7 @@
 /** @internal */
 export function startCoordinatorPart(
   context: StartContext,
-): Effect.Effect<CoordinatorPart, never, Scope.Scope> {
+): Effect.Effect<CoordinatorActor, never, Scope.Scope> {
   const { options, timing, boot, parts } = context
   const { instance, zone, telemetry } = options
   const callerWeights = new Map(
--- a/apps/cherryhitch/src/lib/instance/startInstance.ts
+++ b/apps/cherryhitch/src/lib/instance/startInstance.ts
@@ -1,7 +1,7 @@
 import type { ControlError, ControlNode } from '@cherryhitch/control'
-import type { CoordinatorPart } from '@cherryhitch/coordinator'
+import type { CoordinatorActor } from '@cherryhitch/coordinator'
 import type { HttpServerError } from '@cherryhitch/http-api'
-import type { OwnerPart } from '@cherryhitch/owner'
+import type { OwnerActor } from '@cherryhitch/owner'
 import type { LinkError } from '@cherryhitch/rpc'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
@@ -71,8 +71,8 @@
 
 function openInterfaces(
   { options, timing, parts }: StartContext,
-  owner: OwnerPart,
-  coordinator: CoordinatorPart,
+  owner: OwnerActor,
+  coordinator: CoordinatorActor,
   control: ControlNode,
 ): Effect.Effect<InstanceInterfaces, HttpServerError, Scope.Scope> {
   const { members, send, readiness } = parts
--- a/apps/cherryhitch/src/lib/instance/startMembership.ts
+++ b/apps/cherryhitch/src/lib/instance/startMembership.ts
@@ -3,8 +3,8 @@
 import { MembershipActionKind, MembershipMachine } from '@cherryhitch/membership'
 import { exhaustive } from '@cherryhitch/model'
 import type { Envelope } from '@cherryhitch/protocol'
-import type { Part } from '@cherryhitch/runtime'
-import { startPart } from '@cherryhitch/runtime'
+import type { Actor } from '@cherryhitch/runtime'
+import { startActor } from '@cherryhitch/runtime'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 
@@ -18,14 +18,14 @@
 }
 
 /** The running membership part. @internal */
-export interface MembershipPart extends Part<MembershipEvent> {
+export interface MembershipActor extends Actor<MembershipEvent> {
   readonly counters: () => Readonly<Record<string, number>>
 }
 
 /** Starts the fiber that detects which instances are alive. @internal */
 export function startMembership(
   options: StartMembershipOptions,
-): Effect.Effect<MembershipPart, never, Scope.Scope> {
+): Effect.Effect<MembershipActor, never, Scope.Scope> {
   const machine = new MembershipMachine(options)
   const perform = (action: MembershipAction): void => {
     switch (action.kind) {
@@ -45,7 +45,7 @@
         exhaustive(action)
     }
   }
-  const part = startPart(machine, {
+  const part = startActor(machine, {
     perform,
     onDefect: options.onDefect,
     tickMs: options.tickMs,
--- a/apps/cherryhitch/src/lib/instance/startMembershipPart.ts
+++ b/apps/cherryhitch/src/lib/instance/startMembershipPart.ts
@@ -7,14 +7,14 @@
 import type { StartContext } from './StartContext'
 import { logOf } from './StartContext'
 import type { InstanceInterfaces } from './startInterfaces'
-import type { MembershipPart } from './startMembership'
+import type { MembershipActor } from './startMembership'
 import { startMembership } from './startMembership'
 
 /** @internal */
 export function startMembershipPart(
   context: StartContext,
   interfaces: InstanceInterfaces,
-): Effect.Effect<MembershipPart, never, Scope.Scope> {
+): Effect.Effect<MembershipActor, never, Scope.Scope> {
   const { options, timing, boot, parts } = context
   const { instance, zone, peers, endpoints } = options
   const log = logOf(options, 'membership')
--- a/apps/cherryhitch/src/lib/instance/startOwnerPart.ts
+++ b/apps/cherryhitch/src/lib/instance/startOwnerPart.ts
@@ -1,4 +1,4 @@
-import type { OwnerPart } from '@cherryhitch/owner'
+import type { OwnerActor } from '@cherryhitch/owner'
 import { startOwner } from '@cherryhitch/owner'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
@@ -10,7 +10,7 @@
 /** @internal */
 export function startOwnerPart(
   context: StartContext,
-): Effect.Effect<OwnerPart, never, Scope.Scope> {
+): Effect.Effect<OwnerActor, never, Scope.Scope> {
   const { options, timing, boot, parts } = context
   const { instance, zone, telemetry, tokens } = options
   const { heartbeatMs, endpointTimeoutMs, leaseMs } = timing
--- a/packages/coordinator/src/index.ts
+++ b/packages/coordinator/src/index.ts
@@ -16,4 +16,4 @@
   CoordinatorTiming,
 } from './lib/CoordinatorOptions'
 export { startCoordinator } from './lib/startCoordinator'
-export type { CoordinatorPart, JobQuestion, StartCoordinatorOptions } from './lib/startCoordinator'
+export type { CoordinatorActor, JobQuestion, StartCoordinatorOptions } from './lib/startCoordinator'
--- a/packages/coordinator/src/lib/startCoordinator.test.ts
+++ b/packages/coordinator/src/lib/startCoordinator.test.ts
@@ -6,11 +6,11 @@
 import { Effect, Fiber } from 'effect'
 import { CoordinatorEventKind } from './CoordinatorEvent'
 import { makeSpec, makeView, SELF, succeeded, testPreset } from './fixtures/CoordinatorFixture'
-import type { CoordinatorPart } from './startCoordinator'
+import type { CoordinatorActor } from './startCoordinator'
 import { startCoordinator } from './startCoordinator'
 
 interface Started {
-  readonly part: CoordinatorPart
+  readonly part: CoordinatorActor
   readonly sent: Envelope[]
   readonly drained: () => boolean
 }
@@ -50,7 +50,7 @@
     assert.ok(holds())
   })
 
-function reportSuccess(part: CoordinatorPart, envelope: Envelope | undefined): void {
+function reportSuccess(part: CoordinatorActor, envelope: Envelope | undefined): void {
   assert.ok(envelope?.body.case === 'placeTasks')
   const { jobId } = envelope.body.value
   const value = create(TaskReportsSchema, { jobs: [{ jobId, reports: [succeeded(0)] }] })
--- a/packages/coordinator/src/lib/startCoordinator.ts
+++ b/packages/coordinator/src/lib/startCoordinator.ts
@@ -2,7 +2,7 @@
 import { exhaustive } from '@cherryhitch/model'
 import type { ClaimEnd, Envelope, JobAnswer, JobSpec, KeyClaim } from '@cherryhitch/protocol'
 import type { Clock } from '@cherryhitch/runtime'
-import { startPart, systemClock } from '@cherryhitch/runtime'
+import { startActor, systemClock } from '@cherryhitch/runtime'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 import type { CoordinatorAction } from './CoordinatorAction'
@@ -41,7 +41,7 @@
 }
 
 /** A running coordinator. @public */
-export interface CoordinatorPart {
+export interface CoordinatorActor {
   /** Interrupting the effect tells the coordinator that the caller has disconnected. */
   readonly submit: (job: JobSpec, respondAsync: boolean) => Effect.Effect<JobAnswer>
   /** Undefined if the job is unknown or belongs to another caller. */
@@ -115,12 +115,12 @@
  */
 export function startCoordinator(
   options: StartCoordinatorOptions,
-): Effect.Effect<CoordinatorPart, never, Scope.Scope> {
+): Effect.Effect<CoordinatorActor, never, Scope.Scope> {
   return Effect.gen(function* () {
     const clock = options.clock ?? systemClock
     const machine = new CoordinatorMachine(options)
     const requests = new PendingRequests()
-    const part = yield* startPart(machine, {
+    const part = yield* startActor(machine, {
       tickMs: TICK_MS,
       clock,
       perform: (action) => {
--- a/packages/dispatch/src/lib/startDispatcher.ts
+++ b/packages/dispatch/src/lib/startDispatcher.ts
@@ -1,8 +1,8 @@
 import { exhaustive } from '@cherryhitch/model'
 import { wrapMessage } from '@cherryhitch/protocol'
 import type { EndpointAnswers, EndpointNotice, Envelope } from '@cherryhitch/protocol'
-import { startPart, systemClock } from '@cherryhitch/runtime'
-import type { Clock, Part } from '@cherryhitch/runtime'
+import { startActor, systemClock } from '@cherryhitch/runtime'
+import type { Clock, Actor } from '@cherryhitch/runtime'
 import { Effect } from 'effect'
 import type { Scope } from 'effect'
 import type { LossUpdate } from './crashes/LossUpdate'
@@ -34,7 +34,7 @@
 }
 
 /** @public */
-export interface Dispatcher extends Part<DispatchEvent> {
+export interface Dispatcher extends Actor<DispatchEvent> {
   /** Handles answers to orders that a proxy forwarded. */
   readonly onAnswers: (from: string, message: EndpointAnswers) => void
   /** Sets the other instances that may forward orders to endpoints. */
@@ -74,7 +74,7 @@
     }
     const gapMs = (tookMs: number): number => (shell.usesProxies ? stepIntervalMs(tookMs) : 0)
     const parts = { perform, onStepEnd, onDefect, tickMs: TICK_MS, clock, gapMs }
-    const part = yield* startPart(machine, parts)
+    const part = yield* startActor(machine, parts)
     shell.tell = part.tell
     return {
       ...part,
--- a/packages/owner/src/lib/startOwner.ts
+++ b/packages/owner/src/lib/startOwner.ts
@@ -2,7 +2,7 @@
 import { exhaustive } from '@cherryhitch/model'
 import type { Envelope, ServiceSummary } from '@cherryhitch/protocol'
 import type { Clock } from '@cherryhitch/runtime'
-import { startPart, systemClock } from '@cherryhitch/runtime'
+import { startActor, systemClock } from '@cherryhitch/runtime'
 import type { Scope } from 'effect'
 import { Effect } from 'effect'
 import type { EndpointClientCounters, EndpointClientOptions } from './client/EndpointClient'
@@ -35,7 +35,7 @@
 }
 
 /** A running owner. @public */
-export interface OwnerPart {
+export interface OwnerActor {
   /** Enqueues an event without waiting for it to be handled. */
   readonly tell: (event: OwnerEvent) => void
   /** Number of enqueued events. */
@@ -58,7 +58,7 @@
  */
 export function startOwner(
   options: OwnerPartOptions,
-): Effect.Effect<OwnerPart, never, Scope.Scope> {
+): Effect.Effect<OwnerActor, never, Scope.Scope> {
   const clock = options.clock ?? systemClock
   const machine = new OwnerMachine(options)
   return Effect.gen(function* () {
@@ -74,7 +74,7 @@
           open.close()
         }),
     )
-    const part = yield* startPart(machine, {
+    const part = yield* startActor(machine, {
       perform: (action) => {
         perform(options, client, action)
       },
--- a/packages/runtime/src/lib/startPart.test.ts
+++ b/packages/runtime/src/lib/startActor.test.ts
@@ -2,8 +2,8 @@
 import { afterEach, beforeEach, describe, it, mock } from 'node:test'
 import { Effect, Exit, Scope } from 'effect'
 import { StateMachine } from './StateMachine'
-import { startPart } from './startPart'
-import type { Part } from './startPart'
+import { startActor } from './startActor'
+import type { Actor } from './startActor'
 
 const TICK_MS = 10
 
@@ -42,13 +42,13 @@
     mock.timers.reset()
   })
 
-  function open(machine: DueMachine): { part: Part<number>; close: () => void } {
+  function open(machine: DueMachine): { part: Actor<number>; close: () => void } {
     const scope = Scope.makeUnsafe()
     const clock = { now: () => now }
     const onDefect = (defect: unknown): void => {
       throw defect
     }
-    const started = startPart(machine, {
+    const started = startActor(machine, {
       perform: () => undefined,
       onDefect,
       tickMs: TICK_MS,
--- a/packages/runtime/src/lib/startPart.ts
+++ b/packages/runtime/src/lib/startActor.ts
@@ -8,7 +8,7 @@
 import { TickTimer } from './TickTimer'
 
 /** @public */
-export interface PartOptions<Action> {
+export interface ActorOptions<Action> {
   /** Performs an action. Must not throw or block. */
   readonly perform: (action: Action) => void
   /** Called after all actions of a step have been performed. */
@@ -23,7 +23,7 @@
 }
 
 /** A running state machine that is accessible only through its mailbox. @public */
-export type Part<Event> = Mailbox<Event>
+export type Actor<Event> = Mailbox<Event>
 
 const TICK = Symbol('tick')
 
@@ -32,10 +32,10 @@
  *
  * @public
  */
-export function startPart<Event, Action>(
+export function startActor<Event, Action>(
   machine: StateMachine<Event, Action>,
-  options: PartOptions<Action>,
-): Effect.Effect<Part<Event>, never, Scope.Scope> {
+  options: ActorOptions<Action>,
+): Effect.Effect<Actor<Event>, never, Scope.Scope> {
   const { onDefect, gapMs, clock = systemClock } = options
   const perform = (actions: readonly Action[]): void => {
     for (const action of actions) options.perform(action)
