--- a/apps/cherryhitch/src/lib/dispatching/ControlRequestHandler.ts
+++ b/apps/cherryhitch/src/lib/dispatching/ControlRequestHandler.ts
@@ -62,7 +62,7 @@
     return this.options.notices.acceptNotice(notice)
   }
 
-  override heartbeatAddress(): string | undefined {
+  override heartbeatTarget(): string | undefined {
     const leader = this.options.leader()
     return leader === '' ? undefined : `${hostOf(leader)}:${this.options.controlPort}`
   }
