--- a/packages/policy/src/lib/bench/healthBench.ts
+++ b/packages/policy/src/lib/bench/healthBench.ts
@@ -28,8 +28,8 @@
   none: () => new AlwaysHealthy(),
   consecutive: () => new ConsecutiveFailureHealth(),
   'decayed score': () => new DecayedScoreHealth(),
-  'decayed, relief 0.5': () => new DecayedScoreHealth({ relief: 0.5 }),
-  'decayed, relief 0.75': () => new DecayedScoreHealth({ relief: 0.75 }),
+  'decayed, relief 0.5': () => new DecayedScoreHealth({ successDecayFactor: 0.5 }),
+  'decayed, relief 0.75': () => new DecayedScoreHealth({ successDecayFactor: 0.75 }),
   'decayed, k 1': () => new DecayedScoreHealth({ aggressiveness: 1 }),
 }
 
--- a/packages/policy/src/lib/crashes/CountedCrashBlame.ts
+++ b/packages/policy/src/lib/crashes/CountedCrashBlame.ts
@@ -3,27 +3,30 @@
 
 /** @public */
 export interface CountedCrashBlameOptions {
-  /** Endpoints that have to crash under a task, each by itself, before it counts as the cause. */
-  readonly culpritCrashes: number
-  /** Endpoints that may be lost under a task before it waits for what became of them. */
-  readonly heldLosses: number
-  /** The same, whatever the others seem to have been lost for. */
-  readonly mostLosses: number
+  /** Confirmed crashes, none shared with other endpoints, after which a task is the culprit. */
+  readonly culpritCrashThreshold: number
+  /** Confirmed losses, not shared with other endpoints, after which a task is held. */
+  readonly heldLossThreshold: number
+  /**
+   * Threshold that also counts uncertain evidence: a task is the culprit after this many unshared
+   * crashes, possible ones included, and held after this many losses of any kind.
+   */
+  readonly totalLossThreshold: number
 }
 
 /** @public */
 export const defaultCountedCrashBlameOptions: CountedCrashBlameOptions = {
-  culpritCrashes: 2,
-  heldLosses: 2,
-  mostLosses: 3,
+  culpritCrashThreshold: 2,
+  heldLossThreshold: 2,
+  totalLossThreshold: 3,
 }
 
 /**
- * Counts the endpoints that were lost under a task alone: one may be chance, a second one is not,
- * since a suspect shares its endpoint with no other. What may have been lost under it makes it a
- * suspect, and is no proof.
+ * Counts the endpoints lost while a task ran on them, leaving aside losses shared with many other
+ * endpoints. A first loss may be a coincidence. A second one is not, because a suspect task never
+ * shares its endpoint with another task. A possible loss makes a task a suspect but proves nothing.
  *
- * It answers requests that would take down one endpoint after the other.
+ * Protects against a task that would crash one endpoint after another.
  *
  * @public
  */
@@ -39,11 +42,11 @@
     const alone = losses.filter(({ isShared }) => !isShared)
     const own = alone.filter(({ isPossible }) => !isPossible)
     const crashes = own.filter(({ isCrash }) => isCrash)
-    if (crashes.length >= this.#options.culpritCrashes) return TaskStanding.Culprit
+    if (crashes.length >= this.#options.culpritCrashThreshold) return TaskStanding.Culprit
     const allCrashes = alone.filter(({ isCrash }) => isCrash)
-    if (allCrashes.length >= this.#options.mostLosses) return TaskStanding.Culprit
-    if (own.length >= this.#options.heldLosses) return TaskStanding.Held
-    if (losses.length >= this.#options.mostLosses) return TaskStanding.Held
+    if (allCrashes.length >= this.#options.totalLossThreshold) return TaskStanding.Culprit
+    if (own.length >= this.#options.heldLossThreshold) return TaskStanding.Held
+    if (losses.length >= this.#options.totalLossThreshold) return TaskStanding.Held
     return alone.length > 0 ? TaskStanding.Suspect : TaskStanding.Clear
   }
 }
--- a/packages/policy/src/lib/crashes/CrashBlame.ts
+++ b/packages/policy/src/lib/crashes/CrashBlame.ts
@@ -1,28 +1,38 @@
-/** What the losses of endpoints say of a task that ran on them. @public */
+/**
+ * How strongly the endpoints lost while a task ran on them suggest that the task crashed them.
+ *
+ * @public
+ */
 export enum TaskStanding {
-  /** Nothing speaks against it. */
+  /** No loss points to the task. */
   Clear = 'clear',
-  /** An endpoint was lost under it: it may be the cause, and runs apart from other tasks. */
+  /**
+   * An endpoint was lost while the task ran there. The task may be the cause and is isolated from
+   * other tasks.
+   */
   Suspect = 'suspect',
-  /** It isn't started until more is known of the endpoints that were lost under it. */
+  /** Not started again until more is known about the endpoints lost while it ran. */
   Held = 'held',
-  /** It takes down the endpoints that start it, and isn't started again. */
+  /** Crashes the endpoints that run it; never started again. */
   Culprit = 'culprit',
 }
 
-/** An endpoint that was lost while a task ran there. @public */
+/** The loss of an endpoint on which a task was running. @public */
 export interface LossUnderTask {
-  /** Another life of the endpoint has begun: what was lost was not the way to it. */
+  /** The endpoint has restarted, so the process ended rather than the connection to it. */
   readonly isCrash: boolean
-  /** Many others were lost at the same time, so that no task of one endpoint was the cause. */
+  /**
+   * Many other endpoints were lost at the same time, so a task on a single endpoint was not the
+   * cause.
+   */
   readonly isShared: boolean
-  /** It is not known whether the task had begun there. */
+  /** It is not known whether the task had started there. */
   readonly isPossible: boolean
 }
 
 /**
- * Tells tasks that take endpoints down from those that merely ran beside one, or on an endpoint that
- * was lost for another reason.
+ * Distinguishes tasks that crash endpoints from tasks that merely ran beside such a task, or ran on
+ * an endpoint that was lost for another reason.
  *
  * @public
  */
--- a/packages/policy/src/lib/crashes/NeverBlamed.ts
+++ b/packages/policy/src/lib/crashes/NeverBlamed.ts
@@ -1,6 +1,6 @@
 import { CrashBlame, TaskStanding } from './CrashBlame'
 
-/** Takes no task for the cause of a loss. @public */
+/** Baseline: attributes no loss to a task. @public */
 export class NeverBlamed extends CrashBlame {
   override standing(): TaskStanding {
     return TaskStanding.Clear
--- a/packages/policy/src/lib/health/ConsecutiveFailureHealth.ts
+++ b/packages/policy/src/lib/health/ConsecutiveFailureHealth.ts
@@ -1,7 +1,7 @@
 import { EjectingHealth } from './EjectingHealth'
 import type { EjectingHealthOptions } from './EjectingHealth'
 
-/** Measured in `docs/design/health.md`. @public */
+/** See `docs/design/health.md` for the measurements behind the defaults. @public */
 export const defaultConsecutiveFailureOptions: EjectingHealthOptions = {
   ejectScore: 5,
   maxEjectedShare: 0.5,
@@ -9,10 +9,15 @@
   maxEjectionMs: 60_000,
   probationSuccesses: 3,
   tauMs: Infinity,
-  relief: 0,
+  successDecayFactor: 0,
 }
 
-/** Ejects after a number of distinct jobs failed in a row; each ejection doubles the next. @public */
+/**
+ * Ejects an endpoint after a number of distinct jobs failed there in a row. Each ejection doubles
+ * the length of the next one.
+ *
+ * @public
+ */
 export class ConsecutiveFailureHealth extends EjectingHealth {
   constructor(options: Partial<EjectingHealthOptions> = {}) {
     super({ ...defaultConsecutiveFailureOptions, ...options })
--- a/packages/policy/src/lib/health/DecayedScoreHealth.ts
+++ b/packages/policy/src/lib/health/DecayedScoreHealth.ts
@@ -3,11 +3,11 @@
 
 /** @public */
 export interface DecayedScoreOptions extends EjectingHealthOptions {
-  /** How soon the length of an ejection nears its maximum: the k of the curve. */
+  /** How fast the length of ejections approaches its maximum: the k of the saturating curve. */
   readonly aggressiveness: number
 }
 
-/** Measured in `docs/design/health.md`. @public */
+/** See `docs/design/health.md` for the measurements behind the defaults. @public */
 export const defaultDecayedScoreOptions: DecayedScoreOptions = {
   ejectScore: 4.5,
   maxEjectedShare: 0.5,
@@ -15,17 +15,17 @@
   maxEjectionMs: 60_000,
   probationSuccesses: 3,
   tauMs: 20_000,
-  relief: 0.85,
+  successDecayFactor: 0.85,
   aggressiveness: 0.5,
 }
 
 /**
- * Ejects by a score that sums recent failures, each fading exponentially with its age, so that
- * an endpoint which only sometimes works is found too. The length of an ejection follows a
- * saturating curve of the earlier ones, which fade likewise.
+ * Ejects an endpoint by a score that sums its recent failures, each decaying exponentially with its
+ * age, so that an endpoint that fails only some of its tasks is detected too. The length of an
+ * ejection is a saturating function of the number of earlier ejections, which decay the same way.
  *
- * The score and the curve are those of `PAPER-download-retry-backoff-system-a286`, which paces
- * retries by them; that each success lightens the score is ours.
+ * The score and the curve come from `PAPER-download-retry-backoff-system-a286`, which uses them to
+ * pace retries. Lowering the score after each success is an addition to that method.
  *
  * @public
  */
--- a/packages/policy/src/lib/health/EndpointHealth.ts
+++ b/packages/policy/src/lib/health/EndpointHealth.ts
@@ -1,23 +1,23 @@
 /** How much work an endpoint may get. @public */
 export enum HealthState {
   Healthy = 'healthy',
-  /** One task at a time, to find out whether it works again. */
+  /** Gets one task at a time, to find out whether it works again. */
   Probation = 'probation',
-  /** No task for now. */
+  /** Gets no tasks for now. */
   Ejected = 'ejected',
 }
 
-/** What went wrong at an endpoint. @public */
+/** How a task failed at an endpoint. @public */
 export enum HealthFailure {
   /** The task ran and failed. */
   TaskFailed = 'task_failed',
-  /** It refused, though it announced a free slot. */
+  /** The endpoint refused the task although it had announced a free slot. */
   Refused = 'refused',
-  /** Its answer never came. */
+  /** No answer arrived. */
   Lost = 'lost',
 }
 
-/** One thing seen of an endpoint. @public */
+/** Identifies the job, endpoint and service of one observed result. @public */
 export interface HealthObservation {
   readonly endpoint: string
   readonly service: string
@@ -25,13 +25,14 @@
 }
 
 /**
- * Tells endpoints that fail what their peers complete from jobs that fail everywhere, and says
- * how much work an endpoint may get. Never ejects the last capacity of a service.
+ * Outlier detection for endpoints. Distinguishes endpoints that fail work their peers complete from
+ * jobs that fail everywhere, and decides how much work each endpoint may get. Never ejects the last
+ * capacity of a service.
  *
  * @public
  */
 export abstract class EndpointHealth {
-  /** Makes an endpoint known, also as capacity of its service. */
+  /** Registers an endpoint, which also counts towards the capacity of its service. */
   abstract add(endpoint: string, service: string): void
   abstract remove(endpoint: string): void
   abstract recordSuccess(now: number, seen: HealthObservation, runMs: number): void
--- a/packages/policy/src/lib/health/FailureMarks.ts
+++ b/packages/policy/src/lib/health/FailureMarks.ts
@@ -1,54 +1,54 @@
-interface FailureMark {
+interface WeightedFailure {
   readonly jobId: string
   readonly at: number
   weight: number
 }
 
-/** Marks kept of one endpoint; by then it has been judged. */
-const MAX_MARKS = 64
+/** Failures kept per endpoint. The oldest ones are dropped; they have been evaluated already. */
+const MAX_FAILURES = 64
 const NEGLIGIBLE_WEIGHT = 0.05
 
 /**
- * The failures held against one endpoint, with a limit for each job. Marks fade with time, and
- * each success lightens them.
+ * The weighted failures of one endpoint, with a limit on the weight of each job. Weights decay with
+ * time and with each success.
  *
  * @internal
  */
-export class FailureMarks {
-  private marks: FailureMark[] = []
+export class WeightedFailures {
+  private failures: WeightedFailure[] = []
 
   constructor(
-    /** Age at which a mark counts 1/e, in milliseconds. */
+    /** Age at which the weight of a failure has decayed to 1/e, in milliseconds. */
     private readonly tauMs: number,
-    /** What a success leaves of each mark, 0 to 1. */
-    private readonly relief: number,
+    /** Factor by which each success reduces the weight of earlier failures, 0 to 1. */
+    private readonly successDecayFactor: number,
   ) {}
 
-  /** @param jobLimit - most that one job's marks may weigh together */
+  /** @param jobLimit - maximum total weight of the failures of one job */
   add(now: number, jobId: string, weight: number, jobLimit: number): void {
-    const ofJob = this.marks.filter((mark) => mark.jobId === jobId)
-    if (ofJob.reduce((sum, mark) => sum + mark.weight, weight) > jobLimit) return
-    this.marks.push({ jobId, at: now, weight })
-    if (this.marks.length > MAX_MARKS) this.marks.shift()
+    const ofJob = this.failures.filter((failure) => failure.jobId === jobId)
+    if (ofJob.reduce((sum, failure) => sum + failure.weight, weight) > jobLimit) return
+    this.failures.push({ jobId, at: now, weight })
+    if (this.failures.length > MAX_FAILURES) this.failures.shift()
   }
 
-  lighten(): void {
-    if (this.marks.length === 0) return
-    for (const mark of this.marks) mark.weight *= this.relief
-    this.marks = this.marks.filter((mark) => mark.weight >= NEGLIGIBLE_WEIGHT)
+  decayOnSuccess(): void {
+    if (this.failures.length === 0) return
+    for (const failure of this.failures) failure.weight *= this.successDecayFactor
+    this.failures = this.failures.filter((failure) => failure.weight >= NEGLIGIBLE_WEIGHT)
   }
 
-  withdraw(jobId: string): void {
-    this.marks = this.marks.filter((mark) => mark.jobId !== jobId)
+  removeJob(jobId: string): void {
+    this.failures = this.failures.filter((failure) => failure.jobId !== jobId)
   }
 
   clear(): void {
-    this.marks = []
+    this.failures = []
   }
 
-  /** @param withoutJob - leaves out the marks of this job */
+  /** @param withoutJob - job whose failures are left out */
   score(now: number, withoutJob?: string): number {
-    return this.marks.reduce((sum, { at, weight, jobId }) => {
+    return this.failures.reduce((sum, { at, weight, jobId }) => {
       if (jobId === withoutJob) return sum
       return sum + weight * Math.exp(-Math.max(0, now - at) / this.tauMs)
     }, 0)
--- a/packages/policy/src/lib/health/createEndpointHealth.ts
+++ b/packages/policy/src/lib/health/createEndpointHealth.ts
@@ -5,7 +5,7 @@
 import { DecayedScoreHealth } from './DecayedScoreHealth'
 import type { EndpointHealth } from './EndpointHealth'
 
-/** Makes the health rule that a preset names. @public */
+/** Creates the health rule selected by a preset. @public */
 export function createEndpointHealth(rule: HealthRule): EndpointHealth {
   switch (rule) {
     case HealthRule.UNSPECIFIED:
